--- a/cmd/heronwick/controller.go
+++ b/cmd/heronwick/controller.go
@@ -65,7 +65,7 @@
 	overload  overload.Meter
 	latency   func() time.Duration // of scheduling in this process, as overload measures it
 	front     *server.Server
-	share     atomic.Pointer[scheduler.Share]
+	share     atomic.Pointer[scheduler.Scheduler]
 	spare     atomic.Pointer[spare]
 	told      atomic.Pointer[[]*peerpb.Progress] // progress
 	requests  scheduler.Requests
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -10,7 +10,7 @@
 
 // adoptLocked takes in an attempt that was recorded before or that a report
 // shows unexpectedly.
-func (s *Share) adoptLocked(m *machine, a *fleet.Attempt) {
+func (s *Scheduler) adoptLocked(m *machine, a *fleet.Attempt) {
 	js := s.jobs[a.Job]
 	if js == nil {
 		r := s.opts.Jobs.Active(a.Job)
@@ -39,7 +39,7 @@
 	s.closeIfEmptyLocked(m)
 }
 
-func (s *Share) describe(a *fleet.Attempt, j *wire.Job, rank int) {
+func (s *Scheduler) describe(a *fleet.Attempt, j *wire.Job, rank int) {
 	a.Team, a.Rank, a.Service = j.Team, rank, j.Kind == wire.KindService
 	a.Image, a.ImageGB = j.Image, j.ImageGB
 	a.Size, a.Sized = placement.Of(j), true
@@ -51,7 +51,7 @@
 // graceFor leaves a task a little more than its owner says it needs to save.
 func graceFor(j *wire.Job) float64 { return j.SaveS*1.25 + 0.5 }
 
-func (s *Share) countLocked(zone string, a *fleet.Attempt) {
+func (s *Scheduler) countLocked(zone string, a *fleet.Attempt) {
 	if a.Counted {
 		return
 	}
@@ -65,13 +65,13 @@
 
 // uncountLocked takes an attempt out of all sums: it is surely gone. Its task
 // is queued again, unless it is done or may be elsewhere.
-func (s *Share) uncountLocked(a *fleet.Attempt) {
+func (s *Scheduler) uncountLocked(a *fleet.Attempt) {
 	s.releaseLocked(a)
 	s.poke()
 }
 
 // releaseLocked is uncountLocked without waking the scheduler.
-func (s *Share) releaseLocked(a *fleet.Attempt) {
+func (s *Scheduler) releaseLocked(a *fleet.Attempt) {
 	if !a.Counted {
 		return
 	}
@@ -91,7 +91,7 @@
 }
 
 // exitedLocked takes the end of an attempt on a machine of the share.
-func (s *Share) exitedLocked(m *machine, a *fleet.Attempt) {
+func (s *Scheduler) exitedLocked(m *machine, a *fleet.Attempt) {
 	now := time.Now()
 	s.log.Debug("exited", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "why", a.Why, "since_placed", now.Sub(a.Placed))
 	if a.Why == wire.WhyError {
@@ -111,7 +111,7 @@
 
 // endedLocked draws the consequences of an attempt's end for its job, on
 // whoever's machine it was.
-func (s *Share) endedLocked(a *fleet.Attempt, now time.Time) {
+func (s *Scheduler) endedLocked(a *fleet.Attempt, now time.Time) {
 	js := s.jobs[a.Job]
 	if js == nil {
 		// Its owner, which asks, decides what follows; without one, nothing.
@@ -140,7 +140,7 @@
 }
 
 // stopOthersLocked stops other attempts of a task that is done.
-func (s *Share) stopOthersLocked(done *fleet.Attempt) {
+func (s *Scheduler) stopOthersLocked(done *fleet.Attempt) {
 	js := s.jobs[done.Job]
 	if js == nil || js.live[done.Index] == 0 {
 		return
@@ -158,7 +158,7 @@
 // failedLocked judges a failure: is it the machine or the job? A machine on
 // which several jobs fail that do not fail elsewhere is set aside; a job that
 // fails on several machines and succeeds on none is tried again ever later.
-func (s *Share) failedLocked(m *machine, js *jobState, a *fleet.Attempt, now time.Time) {
+func (s *Scheduler) failedLocked(m *machine, js *jobState, a *fleet.Attempt, now time.Time) {
 	s.log.Info("task failed", "task", a.Task, "attempt", a.Attempt, "machine", m.Name)
 	if js == nil {
 		return
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -8,7 +8,7 @@
 
 // takeStandingLocked takes what the job's place in its chain says of it: whether
 // its tasks may start, since when its times count, and how urgent it is.
-func (s *Share) takeStandingLocked(js *jobState) {
+func (s *Scheduler) takeStandingLocked(js *jobState) {
 	standing := s.opts.Jobs.Standing(js.rec)
 	js.ready, js.rank, js.due = standing.Ready, standing.Rank, standing.Due
 	js.begin = js.accepted
@@ -18,10 +18,10 @@
 }
 
 // rankOf is the priority under which a job's tasks run.
-func (s *Share) rankOf(r *job.Record) int { return s.opts.Jobs.Standing(r).Rank }
+func (s *Scheduler) rankOf(r *job.Record) int { return s.opts.Jobs.Standing(r).Rank }
 
 // StandingChanged implements job.Listener.
-func (s *Share) StandingChanged(ids []string) {
+func (s *Scheduler) StandingChanged(ids []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ranks := map[string]int{}
@@ -42,7 +42,7 @@
 }
 
 // rerankLocked gives the tasks of jobs that are on machines another priority.
-func (s *Share) rerankLocked(ranks map[string]int) {
+func (s *Scheduler) rerankLocked(ranks map[string]int) {
 	if len(ranks) == 0 {
 		return
 	}
--- a/internal/scheduler/division.go
+++ b/internal/scheduler/division.go
@@ -29,15 +29,15 @@
 	return a.Leader == b.Leader && a.Incarnation == b.Incarnation && maps.Equal(a.Members, b.Members) && maps.Equal(a.Teams, b.Teams)
 }
 
-func (s *Share) mineLocked(j *wire.Job) bool {
+func (s *Scheduler) mineLocked(j *wire.Job) bool {
 	return s.div.OwnerOf(j.Team, j.ID) == s.opts.Node
 }
 
-func (s *Share) leadsLocked() bool { return s.loaded && s.div.Leader == s.opts.Node }
+func (s *Scheduler) leadsLocked() bool { return s.loaded && s.div.Leader == s.opts.Node }
 
 // divideLocked follows the epoch and the owners of machines: what is ours now
 // is rebuilt, what is no longer ours is let go.
-func (s *Share) divideLocked() {
+func (s *Scheduler) divideLocked() {
 	if s.building {
 		return
 	}
@@ -90,17 +90,17 @@
 // acceptedHereLocked tells whether a job of the share was accepted under the
 // division that the share goes by: nobody else can have placed tasks of it, so
 // the records need not be read for it.
-func (s *Share) acceptedHereLocked(r *job.Record) bool {
+func (s *Scheduler) acceptedHereLocked(r *job.Record) bool {
 	return s.loaded && r.Version > s.div.since.Version
 }
 
 // beginsToLeadLocked tells whether this controller leads the epoch, and did not
 // lead by the division before.
-func (s *Share) beginsToLeadLocked(epoch *cluster.Epoch) bool {
+func (s *Scheduler) beginsToLeadLocked(epoch *cluster.Epoch) bool {
 	return epoch.Leader == s.opts.Node && s.div.Leader != s.opts.Node
 }
 
-func (s *Share) takeDivisionLocked(epoch cluster.Epoch, condition wire.Condition) {
+func (s *Scheduler) takeDivisionLocked(epoch cluster.Epoch, condition wire.Condition) {
 	if s.beginsToLeadLocked(&epoch) {
 		s.ledSince = time.Now()
 	}
@@ -113,7 +113,7 @@
 // disownLocked lets go of jobs that now belong to others. Their tasks on the
 // share's machines are guests from now on; what is not recorded yet never
 // starts.
-func (s *Share) disownLocked(epoch *cluster.Epoch) {
+func (s *Scheduler) disownLocked(epoch *cluster.Epoch) {
 	lost := map[string]bool{}
 	for id, js := range s.jobs {
 		if epoch.OwnerOf(js.rec.Job.Team, id) == s.opts.Node {
@@ -147,7 +147,7 @@
 
 // dropStaleGuestsLocked removes guests that were not recorded under the
 // division in which their owner asked: it finds that they are not here.
-func (s *Share) dropStaleGuestsLocked(m *machine) {
+func (s *Scheduler) dropStaleGuestsLocked(m *machine) {
 	for _, a := range m.Attempts.All() {
 		if a.Guest && !a.Durable && a.Epoch < s.div.from {
 			m.Attempts.Delete(a.Key)
@@ -158,7 +158,7 @@
 
 // isGoneLocked tells whether a machine was surely given back to the cloud, by
 // this share or by another.
-func (s *Share) isGoneLocked(name string) bool {
+func (s *Scheduler) isGoneLocked(name string) bool {
 	if s.supply.isGone(name) {
 		return true
 	}
@@ -169,7 +169,7 @@
 // joinLocked decides about a worker whose machine this share does not have:
 // one just given to it, or one that nobody owns. coming tells that its machine
 // is this share's and will be taken once the records are read.
-func (s *Share) joinLocked(r *wire.Report, now time.Time) (m *machine, coming bool) {
+func (s *Scheduler) joinLocked(r *wire.Report, now time.Time) (m *machine, coming bool) {
 	if s.isGoneLocked(r.Machine) {
 		return nil, false // sent before its machine was returned
 	}
--- a/internal/scheduler/done.go
+++ b/internal/scheduler/done.go
@@ -29,23 +29,23 @@
 const flushPriority = state.Safety
 
 // flushEvery is how often done tasks are written.
-func (s *Share) flushEvery() time.Duration {
+func (s *Scheduler) flushEvery() time.Duration {
 	slower := flushWriteRPS / max(s.opts.Settings.StateWriteRPS, 1)
 	return min(max(leastFlushEvery, time.Duration(slower*float64(leastFlushEvery))), mostFlushEvery)
 }
 
 // donePageLimit is how many bytes the entries of a page of done tasks may come
 // to, unless there is only one.
-func (s *Share) donePageLimit() int { return s.valueLimit() * 3 / 4 }
+func (s *Scheduler) donePageLimit() int { return s.valueLimit() * 3 / 4 }
 
 // doneKey names the n-th page of done tasks of the share.
-func (s *Share) doneKey(n uint64) string {
+func (s *Scheduler) doneKey(n uint64) string {
 	return job.DoneKey(s.opts.Node, s.div.Members[s.opts.Node].Since, n)
 }
 
 // takeDonePageLocked takes over what an owner that has gone left, for the jobs
 // that are still active.
-func (s *Share) takeDonePageLocked(written *job.DonePage) {
+func (s *Scheduler) takeDonePageLocked(written *job.DonePage) {
 	for _, page := range s.done.adopt(written, s.opts.Jobs.Active) {
 		for id, chunks := range page.jobs {
 			js := s.jobs[id]
@@ -72,7 +72,7 @@
 }
 
 // flushLocked writes the done tasks of jobs that go on.
-func (s *Share) flushLocked(now time.Time) {
+func (s *Scheduler) flushLocked(now time.Time) {
 	if !s.loaded || !s.currentLocked() || now.Sub(s.done.flushed) < s.flushEvery() {
 		return
 	}
@@ -96,7 +96,7 @@
 
 // flushJobLocked puts the job's done tasks on pages, and those pages among the ones
 // to write.
-func (s *Share) flushJobLocked(js *jobState, due map[*donePage]*donePageWrite) {
+func (s *Scheduler) flushJobLocked(js *jobState, due map[*donePage]*donePageWrite) {
 	for chunk := range js.dirty {
 		page := js.donePages[chunk]
 		if !s.done.holds(page) {
@@ -117,7 +117,7 @@
 }
 
 // putDonePageLocked writes a page, or removes one that holds nothing any more.
-func (s *Share) putDonePageLocked(dw *donePageWrite) {
+func (s *Scheduler) putDonePageLocked(dw *donePageWrite) {
 	page := dw.page
 	write := state.Write{Priority: flushPriority, Persist: true, If: []wire.Condition{{Key: page.key, Version: page.version}}}
 	if len(page.jobs) == 0 {
@@ -140,7 +140,7 @@
 	s.goDo(func(ctx context.Context) { s.writeDonePage(ctx, dw) })
 }
 
-func (s *Share) writeDonePage(ctx context.Context, dw *donePageWrite) {
+func (s *Scheduler) writeDonePage(ctx context.Context, dw *donePageWrite) {
 	version, err := s.opts.Committer.Commit(ctx, dw.write)
 	known := err == nil
 	if err != nil {
@@ -172,7 +172,7 @@
 }
 
 // finishLocked writes a job's end once all its tasks are done.
-func (s *Share) finishLocked(js *jobState) {
+func (s *Scheduler) finishLocked(js *jobState) {
 	if js.finishing || js.service() || js.done.Count < js.rec.Job.Tasks {
 		return
 	}
@@ -186,7 +186,7 @@
 
 // finish returns false when nothing is left to do. However often the epoch changes,
 // the end keeps its place among those that wait to be written.
-func (s *Share) finish(ctx context.Context, js *jobState, since time.Time) bool {
+func (s *Scheduler) finish(ctx context.Context, js *jobState, since time.Time) bool {
 	s.mu.Lock()
 	id, fence := js.rec.Job.ID, s.fenceLocked()
 	fence.Since = since
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -33,32 +33,32 @@
 // silentAfter is how long a healthy worker can be silent: reports come every
 // ReportEvery plus or minus a quarter, one may be lost and resent, and this
 // controller may be late to read it.
-func (s *Share) silentAfter() time.Duration {
+func (s *Scheduler) silentAfter() time.Duration {
 	every := s.opts.Settings.ReportEvery
 	return every*5/4 + 750*time.Millisecond + min(s.latency(), every)
 }
 
 // deadAfter is when a silent worker that does not answer probes either counts
 // as lost, and its machine is returned for proof: a report is surely missing.
-func (s *Share) deadAfter() time.Duration {
+func (s *Scheduler) deadAfter() time.Duration {
 	return s.opts.Settings.ReportEvery*5/4 + 250*time.Millisecond
 }
 
 // probeAfter is how long a worker may be silent before it is asked: soon
 // where replicas would be down, since the probes then end with deadAfter.
-func (s *Share) probeAfter(m *machine) time.Duration {
+func (s *Scheduler) probeAfter(m *machine) time.Duration {
 	if m.serves() {
 		return s.probeServingAfter()
 	}
 	return s.silentAfter()
 }
 
-func (s *Share) probeServingAfter() time.Duration {
+func (s *Scheduler) probeServingAfter() time.Duration {
 	return s.deadAfter() - deadProbes*probeTimeout
 }
 
 // silent tells whether the worker has been silent for so long that it is asked.
-func (s *Share) silent(m *machine, now time.Time) bool {
+func (s *Scheduler) silent(m *machine, now time.Time) bool {
 	silence := now.Sub(m.LastReport)
 	// Whether it serves is only looked up of those that may be silent.
 	return silence > min(s.probeServingAfter(), s.silentAfter()) && silence > s.probeAfter(m)
@@ -66,7 +66,7 @@
 
 // probeEvery is how long to wait between two probes of a worker: what could be
 // learnt soon is known after a few, and hundreds may be silent for minutes.
-func (s *Share) probeEvery(m *machine) time.Duration {
+func (s *Scheduler) probeEvery(m *machine) time.Duration {
 	if m.failures <= 2*deadProbes {
 		return probeTimeout
 	}
@@ -108,7 +108,7 @@
 	return len(h.last) - after(h.last), after(h.failing)
 }
 
-func (s *Share) censusLocked() *census {
+func (s *Scheduler) censusLocked() *census {
 	c := &census{zones: map[string]*hearing{}}
 	for _, m := range s.machines {
 		zone := c.zones[m.Zone]
@@ -128,7 +128,7 @@
 
 // silentForLong tells whether the worker has answered neither a report's time
 // nor its probes.
-func (s *Share) silentForLong(m *machine, now time.Time) bool {
+func (s *Scheduler) silentForLong(m *machine, now time.Time) bool {
 	return m.failures >= deadProbes && now.Sub(m.LastReport) > s.deadAfter()
 }
 
@@ -138,7 +138,7 @@
 // one after the other. Where most of a zone is silent and the others are not,
 // the zone is cut off: its machines are as they were when that ends, their
 // images included, so they are kept for as long as new ones would take to serve.
-func (s *Share) dead(m *machine, c *census, now time.Time) bool {
+func (s *Scheduler) dead(m *machine, c *census, now time.Time) bool {
 	allHeard, allFailed := c.all.since(m.failing)
 	allFailed-- // itself
 	if allHeard < min(len(s.machines)/2, 2*sampled) || allHeard < allFailed {
@@ -163,25 +163,25 @@
 // unreachableForGood tells whether a worker whose reports arrive has answered nothing
 // for so long that it counts as lost: its lease lapses, since replies do not
 // reach it either, and what it is sent does not start.
-func (s *Share) unreachableForGood(m *machine, now time.Time) bool {
+func (s *Scheduler) unreachableForGood(m *machine, now time.Time) bool {
 	return !m.unreachableSince.IsZero() && m.unansweredProbes >= deadProbes && !s.busy() && now.Sub(m.unreachableSince) > s.deadAfter()+deadProbes*probeTimeout && now.Sub(m.LastReport) <= s.silentAfter()
 }
 
 // stoppedReporting tells whether a worker that answers direct messages has not reported for
 // most of a lease: it reaches no controller, so its lease lapses again and again.
-func (s *Share) stoppedReporting(m *machine, now time.Time) bool {
+func (s *Scheduler) stoppedReporting(m *machine, now time.Time) bool {
 	return now.Sub(m.lastOwnReport) > s.opts.Settings.LeaseFor*3/4 && now.Sub(m.LastReport) <= s.silentAfter()
 }
 
 // stoppedReportingForGood tells whether it has been so for so long that another machine is
 // worth its price.
-func (s *Share) stoppedReportingForGood(m *machine, now time.Time) bool {
+func (s *Scheduler) stoppedReportingForGood(m *machine, now time.Time) bool {
 	return s.stoppedReporting(m, now) && now.Sub(m.lastOwnReport) > 2*s.opts.Settings.LeaseFor
 }
 
 // cutTimeout is how long a machine in a zone that is cut off is kept: its
 // tasks are gone once its lease has lapsed, and a new one takes a boot or two.
-func (s *Share) cutTimeout(m *machine) time.Duration {
+func (s *Scheduler) cutTimeout(m *machine) time.Duration {
 	timeout := 2 * s.opts.Settings.LeaseFor
 	if m.Type != nil {
 		timeout += time.Duration(2 * m.Type.BootS * float64(time.Second))
@@ -207,9 +207,9 @@
 
 // few tells whether so few of the machines have something that it is theirs
 // rather than this controller's.
-func (s *Share) few(count int) bool { return count <= max(2, len(s.machines)/3) }
+func (s *Scheduler) few(count int) bool { return count <= max(2, len(s.machines)/3) }
 
-func (s *Share) surveyLocked(now time.Time) *survey {
+func (s *Scheduler) surveyLocked(now time.Time) *survey {
 	silent, unreachable, notReporting := 0, 0, 0
 	for _, m := range s.machines {
 		silent += boolInt(m.failures >= 2)
@@ -223,7 +223,7 @@
 
 // watchMachinesLocked probes silent workers, settles what leases or returns
 // prove, drains what is noticed, and raises the token where only that helps.
-func (s *Share) watchMachinesLocked(now time.Time) {
+func (s *Scheduler) watchMachinesLocked(now time.Time) {
 	if !s.loaded || !s.permitted() {
 		return
 	}
@@ -261,7 +261,7 @@
 // must have come there than this controller reaches. Where many machines are gone
 // for good, each leader otherwise resigned in turn, and none led for long enough
 // to find out.
-func (s *Share) resignIfCutLocked(survey *survey) {
+func (s *Scheduler) resignIfCutLocked(survey *survey) {
 	if !s.cut || !s.leadsLocked() || survey.now.Sub(s.resigned) <= resignAfter {
 		return
 	}
@@ -273,7 +273,7 @@
 	}
 }
 
-func (s *Share) probeIfSilentLocked(m *machine, now time.Time) {
+func (s *Scheduler) probeIfSilentLocked(m *machine, now time.Time) {
 	asked := s.silent(m, now) || !m.unreachableSince.IsZero()
 	if asked && now.Sub(m.probed) >= s.probeEvery(m) && !m.probing && s.probeRate.Allow() {
 		s.probeLocked(m, now)
@@ -281,7 +281,7 @@
 }
 
 // lapseIfDueLocked takes the proof that a silent worker's lease has run out.
-func (s *Share) lapseIfDueLocked(m *machine, now time.Time) {
+func (s *Scheduler) lapseIfDueLocked(m *machine, now time.Time) {
 	if m.Live() == 0 || now.Sub(m.LastReport) <= s.silentAfter() {
 		return
 	}
@@ -292,7 +292,7 @@
 }
 
 // whyReturnLocked tells why a machine is to be returned; "": it is not.
-func (s *Share) whyReturnLocked(m *machine, survey *survey) string {
+func (s *Scheduler) whyReturnLocked(m *machine, survey *survey) string {
 	now := survey.now
 	switch {
 	case m.returning:
@@ -316,12 +316,12 @@
 // countsAsLost tells whether a silent worker may be judged by itself. While this
 // controller is rather cut off from many, their machines are kept for as long as new
 // ones would take to serve.
-func (s *Share) countsAsLost(m *machine, survey *survey) bool {
+func (s *Scheduler) countsAsLost(m *machine, survey *survey) bool {
 	return !survey.cutOff || survey.now.Sub(m.LastReport) > s.cutTimeout(m)
 }
 
 // heardLocked returns the census of the survey.
-func (s *Share) heardLocked(survey *survey) *census {
+func (s *Scheduler) heardLocked(survey *survey) *census {
 	if survey.heard == nil {
 		survey.heard = s.censusLocked()
 	}
@@ -330,12 +330,12 @@
 
 // keptByLeftoversLocked tells whether exited attempts alone keep an idle machine
 // from being given or returned.
-func (s *Share) keptByLeftoversLocked(m *machine, now time.Time) bool {
+func (s *Scheduler) keptByLeftoversLocked(m *machine, now time.Time) bool {
 	return m.Live() == 0 && m.Attempts.Len() > 0 && now.Sub(s.div.at) > 20*time.Second && now.Sub(m.idleSince) > 2*time.Second
 }
 
 // raiseLocked raises the token, now and then.
-func (s *Share) raiseLocked(now time.Time) {
+func (s *Scheduler) raiseLocked(now time.Time) {
 	if s.raising || now.Sub(s.raised) <= 2*time.Second {
 		return
 	}
@@ -355,7 +355,7 @@
 // have given, or from when its session began, with the drift of two clocks. A
 // worker that reaches no controller starts session after session by itself, and
 // takes direct commands in each.
-func (s *Share) lapseLocked(m *machine) (time.Time, bool) {
+func (s *Scheduler) lapseLocked(m *machine) (time.Time, bool) {
 	last := m.LastAnswer
 	if m.SessionAt.After(last) {
 		last = m.SessionAt
@@ -375,7 +375,7 @@
 
 // overdueLocked tells whether a cancelled job's task may still be there when
 // it must be gone soon, and its lease does not surely lapse before.
-func (s *Share) overdueLocked(m *machine, now time.Time) bool {
+func (s *Scheduler) overdueLocked(m *machine, now time.Time) bool {
 	for _, a := range m.Attempts.All() {
 		if a.MustGoBy.IsZero() || a.Exited() || now.Before(a.MustGoBy.Add(-3*time.Second)) {
 			continue
@@ -390,7 +390,7 @@
 	return false
 }
 
-func (s *Share) probeLocked(m *machine, now time.Time) {
+func (s *Scheduler) probeLocked(m *machine, now time.Time) {
 	if m.Address == "" {
 		m.failures++
 		m.probed = now
@@ -433,7 +433,7 @@
 // probeSampleLocked asks some workers of each zone that have not been heard for a
 // moment: whether they answer tells if one worker is lost, a zone cut off, or
 // this controller.
-func (s *Share) probeSampleLocked(now time.Time) {
+func (s *Scheduler) probeSampleLocked(now time.Time) {
 	asked := map[string]int{}
 	for _, m := range s.machines {
 		if now.Sub(m.LastReport) > probeTimeout && now.Sub(m.probed) > probeTimeout && !m.probing && asked[m.Zone] < sampled && s.probeRate.Allow() {
--- a/internal/scheduler/giving.go
+++ b/internal/scheduler/giving.go
@@ -16,7 +16,7 @@
 
 // takeLocked takes a machine that another share has given: nothing is on it,
 // and it can be used at once by what its owner before knew of it.
-func (s *Share) takeLocked(name string, o cluster.Owner) {
+func (s *Scheduler) takeLocked(name string, o cluster.Owner) {
 	now := time.Now()
 	var r fleet.Record
 	if err := json.Unmarshal(o.Machine, &r); err != nil {
@@ -31,7 +31,7 @@
 
 // transfer makes node the owner of machines, or, with no node, tells that they
 // are gone for good.
-func (s *Share) transfer(ctx context.Context, node string, machines map[string]json.RawMessage, priority state.Priority) error {
+func (s *Scheduler) transfer(ctx context.Context, node string, machines map[string]json.RawMessage, priority state.Priority) error {
 	s.mu.Lock()
 	fence := s.fenceLocked()
 	s.mu.Unlock()
@@ -50,13 +50,13 @@
 
 // giveableLocked tells whether a machine can change to another share: idle,
 // and nothing that this share has sent can still come to it.
-func (s *Share) giveableLocked(m *machine, now time.Time) bool {
+func (s *Scheduler) giveableLocked(m *machine, now time.Time) bool {
 	return s.usableLocked(m, now) && m.Quiet() && !m.dirty && !m.sending && !m.probing
 }
 
 // giveableMachinesLocked returns the machines that can change to another share,
 // those idle for the longest first.
-func (s *Share) giveableMachinesLocked(now time.Time) []*machine {
+func (s *Scheduler) giveableMachinesLocked(now time.Time) []*machine {
 	var idle []*machine
 	for _, m := range s.machines {
 		if s.giveableLocked(m, now) {
@@ -73,7 +73,7 @@
 
 // giveLocked gives idle machines to another share. This share answers their
 // workers no more before the write goes out.
-func (s *Share) giveLocked(machines []*machine, node string) {
+func (s *Scheduler) giveLocked(machines []*machine, node string) {
 	for len(machines) > 0 {
 		batch, about, size := []*machine{}, map[string]json.RawMessage{}, 0
 		for len(machines) > 0 {
@@ -128,7 +128,7 @@
 // regroupLocked gives idle machines that are more than a share needs at hand
 // back to the leader, and lets the leader hand them to shares without one. A
 // share that starves gets them at once, see Place.
-func (s *Share) regroupLocked(now time.Time) {
+func (s *Scheduler) regroupLocked(now time.Time) {
 	if !s.loaded || !s.permitted() || now.Sub(s.grouped) < regroupEvery {
 		return
 	}
@@ -175,7 +175,7 @@
 }
 
 // hasTeam tells whether the member has jobs to place.
-func (s *Share) hasTeam(node string) bool {
+func (s *Scheduler) hasTeam(node string) bool {
 	for _, r := range s.opts.Jobs.AllActive() {
 		if s.div.OwnerOf(r.Job.Team, r.Job.ID) == node {
 			return true
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -57,7 +57,7 @@
 
 // resolveLocked looks up a job that is not among the active ones, since tasks
 // of it may be on machines: it is over, or only not heard of yet.
-func (s *Share) resolveLocked(id string) {
+func (s *Scheduler) resolveLocked(id string) {
 	if s.resolve[id] {
 		return
 	}
@@ -84,7 +84,7 @@
 }
 
 // jobOf returns an own job or a guest.
-func (s *Share) jobOf(id string) *jobState {
+func (s *Scheduler) jobOf(id string) *jobState {
 	if js := s.jobs[id]; js != nil {
 		return js
 	}
@@ -92,7 +92,7 @@
 }
 
 // JobAdded implements job.Listener.
-func (s *Share) JobAdded(r *job.Record) {
+func (s *Scheduler) JobAdded(r *job.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	defer s.poke()
@@ -116,7 +116,7 @@
 	}
 }
 
-func (s *Share) addJobLocked(r *job.Record) *jobState {
+func (s *Scheduler) addJobLocked(r *job.Record) *jobState {
 	j := &r.Job
 	js := s.newJob(r)
 	s.jobs[j.ID] = js
@@ -125,7 +125,7 @@
 	return js
 }
 
-func (s *Share) newJob(r *job.Record) *jobState {
+func (s *Scheduler) newJob(r *job.Record) *jobState {
 	j := &r.Job
 	js := &jobState{
 		rec: r, size: placement.Of(j), live: map[int]int{}, zones: map[string]int{},
@@ -139,7 +139,7 @@
 
 // objectives is within what time the job's users want it, as far as its class
 // says; a deadline of its own stands for those.
-func (s *Share) objectives(j *wire.Job) []time.Duration {
+func (s *Scheduler) objectives(j *wire.Job) []time.Duration {
 	if j.DeadlineS != nil {
 		return nil
 	}
@@ -157,7 +157,7 @@
 
 // dominantShare is the largest part of a machine's resources that a task of
 // the size takes.
-func (s *Share) dominantShare(size placement.Resources) float64 {
+func (s *Scheduler) dominantShare(size placement.Resources) float64 {
 	share := 1.0
 	for _, t := range s.types {
 		c := placement.Capacity(t)
@@ -171,14 +171,14 @@
 }
 
 // JobEnded implements job.Listener.
-func (s *Share) JobEnded(id string, f job.Final) {
+func (s *Scheduler) JobEnded(id string, f job.Final) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.endLocked(id, f, time.Now().Add(s.opts.Settings.CancelIn*3/4))
 }
 
 // endLocked forgets a job that is over and stops its tasks.
-func (s *Share) endLocked(id string, f job.Final, goneBy time.Time) {
+func (s *Scheduler) endLocked(id string, f job.Final, goneBy time.Time) {
 	js := s.jobs[id]
 	if js != nil {
 		s.log.Debug("job over", "job", id, "state", f.State, "after", time.Since(js.accepted))
@@ -196,14 +196,14 @@
 
 // endTasksLocked stops every task of a job that is over, also those whose
 // start may still be under way.
-func (s *Share) endTasksLocked(id string, f job.Final, goneBy time.Time) {
+func (s *Scheduler) endTasksLocked(id string, f job.Final, goneBy time.Time) {
 	for _, m := range s.machines {
 		s.endTasksOnLocked(m, id, f, goneBy)
 	}
 	s.poke()
 }
 
-func (s *Share) endTasksOnLocked(m *machine, id string, f job.Final, goneBy time.Time) {
+func (s *Scheduler) endTasksOnLocked(m *machine, id string, f job.Final, goneBy time.Time) {
 	if f.State == wire.JobDone {
 		goneBy = time.Time{} // nobody was told that its tasks are gone
 	}
@@ -247,7 +247,7 @@
 
 // Progress tells how far the jobs are whose progress has changed lately, and
 // now and then all, for display.
-func (s *Share) Progress() map[string]job.Progress {
+func (s *Scheduler) Progress() map[string]job.Progress {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
--- a/internal/scheduler/journals.go
+++ b/internal/scheduler/journals.go
@@ -14,7 +14,7 @@
 
 // writeJournalsLocked records new placements in as many journals as it takes,
 // and returns how many those are.
-func (s *Share) writeJournalsLocked(dirty []*machine) (written int) {
+func (s *Scheduler) writeJournalsLocked(dirty []*machine) (written int) {
 	for written < journalsAtOnce && len(dirty) > 0 {
 		before := len(dirty)
 		if !s.writeJournalLocked(dirty) {
@@ -32,7 +32,7 @@
 // journalEvery is how long one write of the journal waits after the one
 // before: it comes before the ends of jobs, and must leave them, and the other
 // shares, most of the state service's limit.
-func (s *Share) journalEvery() time.Duration {
+func (s *Scheduler) journalEvery() time.Duration {
 	const part = 6 // of the writes of all controllers
 	return time.Duration(part / max(s.opts.Settings.StateWriteRPS, 1) * float64(time.Second))
 }
@@ -46,12 +46,12 @@
 	bytesPerMachine = 820 // of journals
 )
 
-func (s *Share) maxJournals() int {
+func (s *Scheduler) maxJournals() int {
 	return max(leastJournals, len(s.machines)*bytesPerMachine/s.opts.Settings.ValueBytes)
 }
 
 // nextJournalLocked returns the journal to write, nil if there is none now.
-func (s *Share) nextJournalLocked(limit int) *page {
+func (s *Scheduler) nextJournalLocked(limit int) *page {
 	journal, full := s.records.nextJournal(limit, s.maxJournals())
 	if full != nil && !s.checkpointingLocked() {
 		for m := range s.records.extracts(full) {
@@ -75,7 +75,7 @@
 // writeJournalLocked writes a journal: the attempts that are on no record, as far
 // as it has room for them, and those that it alone holds. It returns false if
 // none can be written now.
-func (s *Share) writeJournalLocked(dirty []*machine) bool {
+func (s *Scheduler) writeJournalLocked(dirty []*machine) bool {
 	limit := s.valueLimit()
 	journal := s.nextJournalLocked(limit)
 	if journal == nil || journal.committing {
@@ -124,7 +124,7 @@
 
 // checkpointingLocked tells whether pages are still due since the journals last
 // filled: what they gain meanwhile goes with the next round of them.
-func (s *Share) checkpointingLocked() bool {
+func (s *Scheduler) checkpointingLocked() bool {
 	for _, p := range s.records.pages {
 		if p.committing && !p.gathers && !s.records.writesJournal(p) {
 			return true
--- a/internal/scheduler/lend.go
+++ b/internal/scheduler/lend.go
@@ -58,7 +58,7 @@
 }
 
 // lendTrackLocked counts an attempt that may be on another's machine.
-func (s *Share) lendTrackLocked(a *fleet.Attempt, host, zone string) {
+func (s *Scheduler) lendTrackLocked(a *fleet.Attempt, host, zone string) {
 	if s.foreign[a.Key] != nil {
 		return
 	}
@@ -68,14 +68,14 @@
 
 // forgetLentLocked drops a lent attempt: it is surely gone, or not this
 // share's to count any more.
-func (s *Share) forgetLentLocked(f *lent) {
+func (s *Scheduler) forgetLentLocked(f *lent) {
 	delete(s.foreign, f.Key)
 	s.uncountLocked(f.Attempt)
 }
 
 // lendLocked asks the other shares for room for what waits: the leader first,
 // which has the idle machines.
-func (s *Share) lendLocked(now time.Time) {
+func (s *Scheduler) lendLocked(now time.Time) {
 	if !s.loaded || !s.permitted() || len(s.div.Members) < 2 || !s.numbersLeftLocked(now) {
 		return
 	}
@@ -117,7 +117,7 @@
 
 // askLocked asks one peer. The tasks count as lent before the request goes
 // out: without an answer the peer may have taken them.
-func (s *Share) askLocked(node string, ask *asking, waiting []*jobState, now time.Time) {
+func (s *Scheduler) askLocked(node string, ask *asking, waiting []*jobState, now time.Time) {
 	req := &peerpb.PlaceRequest{Node: s.opts.Node, Token: s.div.Token}
 	asked := 0
 	for _, js := range waiting {
@@ -198,7 +198,7 @@
 }
 
 // moveZoneLocked notes in which zone a lent attempt is.
-func (s *Share) moveZoneLocked(f *lent, zone string) {
+func (s *Scheduler) moveZoneLocked(f *lent, zone string) {
 	if !f.Counted || f.Zone == zone {
 		return
 	}
@@ -211,7 +211,7 @@
 
 // Place takes tasks of another share's jobs, as far as they find room here;
 // an idle machine goes to the asking share as a whole instead.
-func (s *Share) Place(req *peerpb.PlaceRequest) *peerpb.PlaceReply {
+func (s *Scheduler) Place(req *peerpb.PlaceRequest) *peerpb.PlaceReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reply := &peerpb.PlaceReply{}
@@ -267,7 +267,7 @@
 
 // placeWantedLocked places what one job asks for. An asker that is overloaded is
 // given no machine as a whole.
-func (s *Share) placeWantedLocked(from string, overloaded bool, w *peerpb.Wanted, reply *peerpb.PlaceReply, now time.Time) {
+func (s *Scheduler) placeWantedLocked(from string, overloaded bool, w *peerpb.Wanted, reply *peerpb.PlaceReply, now time.Time) {
 	r := s.opts.Jobs.Active(w.Job)
 	if r == nil || s.div.OwnerOf(r.Job.Team, r.Job.ID) != from {
 		return
@@ -333,7 +333,7 @@
 // giveForLocked gives a share that starves the first machine and as many more
 // idle ones as the job's pending tasks need, but leaves as many as it gives:
 // the next to ask may need them as much. It returns how many it gave.
-func (s *Share) giveForLocked(js *jobState, first *machine, node string, pending int, now time.Time) int {
+func (s *Scheduler) giveForLocked(js *jobState, first *machine, node string, pending int, now time.Time) int {
 	fit := max(1, int(1/max(js.share, 1e-3)))
 	want := (pending + fit - 1) / fit
 	giving := []*machine{first}
@@ -360,7 +360,7 @@
 // hostedLocked finds the attempts that a request names. A peer asks about
 // hundreds at once, of thousands that are here: their numbers alone, which only
 // a gang's tasks share, tell most of the others apart.
-func (s *Share) hostedLocked(req *peerpb.SettleRequest) map[fleet.Key]hosted {
+func (s *Scheduler) hostedLocked(req *peerpb.SettleRequest) map[fleet.Key]hosted {
 	numbers := make(map[uint64]bool, len(req.Attempts)+len(req.Handled))
 	for _, at := range req.Attempts {
 		numbers[at.Attempt] = true
@@ -382,7 +382,7 @@
 // Settle tells what became of attempts that this share may have taken, and
 // lets go of those whose end is recorded. What is not known here never will
 // be: a request that is still under way must not bring it later.
-func (s *Share) Settle(req *peerpb.SettleRequest) *peerpb.SettleReply {
+func (s *Scheduler) Settle(req *peerpb.SettleRequest) *peerpb.SettleReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reply := &peerpb.SettleReply{}
@@ -416,7 +416,7 @@
 }
 
 // runLent asks the hosts of lent attempts what became of them.
-func (s *Share) runLent(ctx context.Context) error {
+func (s *Scheduler) runLent(ctx context.Context) error {
 	return wait.Every(ctx, settleEvery, func() {
 		s.mu.Lock()
 		requests := s.settleRequestsLocked()
@@ -431,7 +431,7 @@
 
 // settleRequestsLocked asks each host about the attempts that it may have, in as
 // many requests as it takes.
-func (s *Share) settleRequestsLocked() map[string][]*peerpb.SettleRequest {
+func (s *Scheduler) settleRequestsLocked() map[string][]*peerpb.SettleRequest {
 	requests := map[string][]*peerpb.SettleRequest{}
 	for key, f := range s.foreign {
 		if f.asked {
@@ -466,7 +466,7 @@
 	return requests
 }
 
-func (s *Share) settle(ctx context.Context, node string, req *peerpb.SettleRequest) {
+func (s *Scheduler) settle(ctx context.Context, node string, req *peerpb.SettleRequest) {
 	cctx, cancel := context.WithTimeout(ctx, lendTimeout)
 	reply, err := s.opts.Peers.Settle(cctx, node, req)
 	cancel()
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -29,7 +29,7 @@
 // drainLocked empties a machine that the cloud will take away, or whose lease
 // will lapse: replicas move at once, and what can save is stopped in time. The
 // rest runs on: it may finish before, and stopping it would lose it anyway.
-func (s *Share) drainLocked(m *machine) {
+func (s *Scheduler) drainLocked(m *machine) {
 	for _, a := range m.Attempts.All() {
 		if a.Stop || a.Exited() || !a.Sized {
 			continue
@@ -43,7 +43,7 @@
 }
 
 // goneLocked drops a machine that was returned.
-func (s *Share) goneLocked(m *machine) {
+func (s *Scheduler) goneLocked(m *machine) {
 	s.handleLocked(m, m.Gone())
 	s.list.Close(m)
 	s.records.leave(m)
@@ -56,7 +56,7 @@
 
 // tellGoneLocked tells the other controllers which machines are gone, many in
 // one write.
-func (s *Share) tellGoneLocked() {
+func (s *Scheduler) tellGoneLocked() {
 	if s.supply.telling || len(s.supply.untold) == 0 || !s.loaded {
 		return
 	}
@@ -82,7 +82,7 @@
 
 // runCloud reads the cloud's list, rents and returns. One controller does, so that
 // the cloud's limit holds.
-func (s *Share) runCloud(ctx context.Context) error {
+func (s *Scheduler) runCloud(ctx context.Context) error {
 	var listed time.Time
 	return wait.Every(ctx, cloudEvery, func() {
 		s.mu.Lock()
@@ -103,7 +103,7 @@
 }
 
 // readList reads the cloud's list.
-func (s *Share) readList(ctx context.Context) {
+func (s *Scheduler) readList(ctx context.Context) {
 	machines, err := s.opts.Cloud.List(ctx)
 	if err != nil {
 		s.log.Info("listing machines failed", "err", err)
@@ -114,7 +114,7 @@
 
 // takeList takes the cloud's list. It lags: a machine that is missing may be
 // up, and one that is listed may be gone.
-func (s *Share) takeList(machines []wire.Machine, now time.Time) {
+func (s *Scheduler) takeList(machines []wire.Machine, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var failed []string
@@ -145,7 +145,7 @@
 
 // bootLimit is when a machine that has not come up is given back: some take
 // several times as long as usual, a few for ever.
-func (s *Share) bootLimit(place placement.Place) time.Duration {
+func (s *Scheduler) bootLimit(place placement.Place) time.Duration {
 	boot := 30 * time.Second
 	if t := s.types[place.Type]; t != nil {
 		boot = time.Duration(t.BootS * float64(time.Second))
@@ -155,7 +155,7 @@
 
 // returnIdleLocked gives back a machine that has been idle for long, if more
 // are idle than are wanted in reserve.
-func (s *Share) returnIdleLocked(now time.Time) {
+func (s *Scheduler) returnIdleLocked(now time.Time) {
 	if !s.loaded || !s.permitted() {
 		return
 	}
--- a/internal/scheduler/overload.go
+++ b/internal/scheduler/overload.go
@@ -7,7 +7,7 @@
 const busyLatency = 100 * time.Millisecond
 
 // latency is how long goroutines of this process lately waited for the processor.
-func (s *Share) latency() time.Duration {
+func (s *Scheduler) latency() time.Duration {
 	if s.opts.Latency == nil {
 		return 0
 	}
@@ -20,7 +20,7 @@
 
 // noteDelay takes how long the loop waited for the share's lock, or held it:
 // whoever reads an answer meanwhile waits for it too.
-func (s *Share) noteDelay(delay time.Duration) {
+func (s *Scheduler) noteDelay(delay time.Duration) {
 	if delay > busyLatency {
 		s.busyUntil.Store(time.Now().Add(busyFor).UnixNano())
 	}
@@ -28,6 +28,6 @@
 
 // busy tells whether this controller is too short of processor time to judge by
 // an answer's absence.
-func (s *Share) busy() bool {
+func (s *Scheduler) busy() bool {
 	return s.latency() > busyLatency || time.Now().UnixNano() < s.busyUntil.Load()
 }
--- a/internal/scheduler/pages.go
+++ b/internal/scheduler/pages.go
@@ -17,13 +17,13 @@
 const leastValueLimit = 512
 
 // valueLimit is how many bytes the records in one value may take.
-func (s *Share) valueLimit() int {
+func (s *Scheduler) valueLimit() int {
 	return max(leastValueLimit, s.opts.Settings.ValueBytes-valueSlack-s.valuesCut)
 }
 
 // noteRejectedLocked makes values smaller if the state service has rejected one:
 // its limits are lower than the settings say.
-func (s *Share) noteRejectedLocked(err error) {
+func (s *Scheduler) noteRejectedLocked(err error) {
 	if !errors.Is(err, state.ErrRejected) {
 		return
 	}
@@ -43,29 +43,29 @@
 )
 
 // maxAttempts keeps a machine's record within the size of a value.
-func (s *Share) maxAttempts() int {
+func (s *Scheduler) maxAttempts() int {
 	limit := s.valueLimit()
 	return max(leastAttempts, (limit-limit/imagesPart-longestRecord)/longestAttempt)
 }
 
 // recordLocked returns what a page holds of a machine, without the attempts that
 // are left out.
-func (s *Share) recordLocked(m *machine, leaveOut func(*fleet.Attempt) bool) fleet.Record {
+func (s *Scheduler) recordLocked(m *machine, leaveOut func(*fleet.Attempt) bool) fleet.Record {
 	r := m.Record(leaveOut)
 	r.KeepImages(s.valueLimit() / imagesPart)
 	return r
 }
 
 // pageLimit is how many bytes a page may come to that takes another machine.
-func (s *Share) pageLimit() int { return s.opts.Settings.ValueBytes * 3 / 4 }
+func (s *Scheduler) pageLimit() int { return s.opts.Settings.ValueBytes * 3 / 4 }
 
 // pageKey names the n-th page of the share.
-func (s *Share) pageKey(n uint64) string {
+func (s *Scheduler) pageKey(n uint64) string {
 	return fleet.PageKey(s.opts.Node, s.div.Members[s.opts.Node].Since, n)
 }
 
 // journalKey names the n-th journal of the share.
-func (s *Share) journalKey(n int) string {
+func (s *Scheduler) journalKey(n int) string {
 	return fleet.JournalKey(s.opts.Node, s.div.Members[s.opts.Node].Since, n)
 }
 
@@ -76,7 +76,7 @@
 // journal was being written go with its next write. So a burst over all
 // machines is one change at a time, however many pages there are; those are
 // written when the journal fills.
-func (s *Share) commitLocked() {
+func (s *Scheduler) commitLocked() {
 	if !s.currentLocked() {
 		return // would only fail, and failures cost writes too
 	}
@@ -124,7 +124,7 @@
 // also name, so that those can be removed. Nobody waits for it: after a takeover
 // it would use up the writes that submissions wait for. What is not recorded yet
 // is left to the journals.
-func (s *Share) consolidateLocked() {
+func (s *Scheduler) consolidateLocked() {
 	for m := range s.records.scattered {
 		if s.consolidating >= consolidationsAtOnce {
 			return
@@ -144,7 +144,7 @@
 
 // tidyLocked writes the pages that name machines which are no longer here,
 // and removes those that name none that are.
-func (s *Share) tidyLocked(now time.Time) {
+func (s *Scheduler) tidyLocked(now time.Time) {
 	if !s.loaded || !s.currentLocked() {
 		return
 	}
--- a/internal/scheduler/pagewrite.go
+++ b/internal/scheduler/pagewrite.go
@@ -30,7 +30,7 @@
 	recorded     []*machine                    // with records left over on other pages
 }
 
-func (s *Share) newPageWriteLocked(priority state.Priority) *pageWrite {
+func (s *Scheduler) newPageWriteLocked(priority state.Priority) *pageWrite {
 	return &pageWrite{attempts: map[*machine][]*fleet.Attempt{}, jobs: map[string]bool{},
 		write: s.fenceLocked().Bind(state.Write{Priority: priority, Persist: true})}
 }
@@ -40,7 +40,7 @@
 // one cancelled a moment ago. A write takes half of the conditions that a
 // transaction can have: the rest is for others' writes beside it. What finds
 // no place goes with the next write.
-func (s *Share) admitsLocked(pw *pageWrite, a *fleet.Attempt) bool {
+func (s *Scheduler) admitsLocked(pw *pageWrite, a *fleet.Attempt) bool {
 	if a.Durable || pw.jobs[a.Job] {
 		return true
 	}
@@ -73,7 +73,7 @@
 func (m *machine) paged() bool { return m.page != nil && m.page.version > 0 }
 
 // putPageLocked encodes a page and commits it.
-func (s *Share) putPageLocked(pw *pageWrite, p *page, content fleet.Page) {
+func (s *Scheduler) putPageLocked(pw *pageWrite, p *page, content fleet.Page) {
 	value, err := json.Marshal(content)
 	if err != nil {
 		s.log.Error("encoding machines' records", "key", p.key, "err", err)
@@ -84,7 +84,7 @@
 }
 
 // markLocked returns what no other write bears.
-func (s *Share) markLocked() string {
+func (s *Scheduler) markLocked() string {
 	s.serial++ // any number that never comes again under this token
 	return fmt.Sprintf("%s-%d-%d", s.opts.Node, s.div.Token, s.serial)
 }
@@ -92,7 +92,7 @@
 // writePageLocked writes a page, fenced by the epoch and by its own version. What
 // does not fit it goes to other pages, in writes of their own; it is itself
 // written once those hold what it held.
-func (s *Share) writePageLocked(p *page, priority state.Priority) {
+func (s *Scheduler) writePageLocked(p *page, priority state.Priority) {
 	for name := range p.machines {
 		s.dropStaleGuestsLocked(s.machines[name])
 	}
@@ -118,7 +118,7 @@
 }
 
 // deletePageLocked removes a page that holds nothing any more.
-func (s *Share) deletePageLocked(p *page, priority state.Priority) {
+func (s *Scheduler) deletePageLocked(p *page, priority state.Priority) {
 	if p.version == 0 {
 		delete(s.records.pages, p.key)
 		return
@@ -140,7 +140,7 @@
 // splitPageLocked moves machines that do not fit a page to others, which are
 // written at once. Until then the page keeps its records of them, and if with
 // those it does not fit a value, it is not written.
-func (s *Share) splitPageLocked(p *page, priority state.Priority) {
+func (s *Scheduler) splitPageLocked(p *page, priority state.Priority) {
 	limit := s.valueLimit()
 	size := 0
 	for name, r := range p.leftover {
@@ -170,14 +170,14 @@
 }
 
 // recordSizeLocked is how much the machine's record takes of a page at most.
-func (s *Share) recordSizeLocked(m *machine) int {
+func (s *Scheduler) recordSizeLocked(m *machine) int {
 	r := s.recordLocked(m, func(*fleet.Attempt) bool { return false })
 	return r.Size(m.Name)
 }
 
 // moveToNewPageLocked moves as many of the machines as fit from a page to a new
 // one and writes that. It returns the others.
-func (s *Share) moveToNewPageLocked(from *page, names []string, priority state.Priority) (others []string) {
+func (s *Scheduler) moveToNewPageLocked(from *page, names []string, priority state.Priority) (others []string) {
 	to := s.records.add()
 	size := 0
 	for i, name := range names {
@@ -207,7 +207,7 @@
 }
 
 // recordsMachineLocked notes what a write of the machine's page records of it.
-func (s *Share) recordsMachineLocked(pw *pageWrite, m *machine) {
+func (s *Scheduler) recordsMachineLocked(pw *pageWrite, m *machine) {
 	if len(m.elsewhere) > 0 {
 		pw.recorded = append(pw.recorded, m)
 	}
@@ -232,7 +232,7 @@
 }
 
 // contentLocked is what a page is to hold.
-func (s *Share) contentLocked(p *page, pw *pageWrite) fleet.Page {
+func (s *Scheduler) contentLocked(p *page, pw *pageWrite) fleet.Page {
 	content := fleet.Page{Machines: make(map[string]fleet.Record, len(p.machines)), Write: s.markLocked()}
 	maps.Copy(content.Machines, p.leftover)
 	for name := range p.machines {
@@ -244,7 +244,7 @@
 }
 
 // fenceLocked ties writes to the division that the share goes by.
-func (s *Share) fenceLocked() state.Fence {
+func (s *Scheduler) fenceLocked() state.Fence {
 	fence := s.div.condition
 	return state.Fence{Condition: fence, Current: func() bool {
 		_, condition := s.opts.Authority.Division()
@@ -253,13 +253,13 @@
 }
 
 // currentLocked tells whether the division that the share goes by is current.
-func (s *Share) currentLocked() bool { return s.fenceLocked().Current() }
+func (s *Scheduler) currentLocked() bool { return s.fenceLocked().Current() }
 
 // reread returns the version that a key has after a write of it has failed
 // with err; ok is false if that is not known, or did not change. Only this
 // share writes the key, so what is there is an earlier write of its own, or of
 // an earlier epoch.
-func (s *Share) reread(ctx context.Context, p state.Priority, key string, err error) (version uint64, ok bool) {
+func (s *Scheduler) reread(ctx context.Context, p state.Priority, key string, err error) (version uint64, ok bool) {
 	var conflict *state.Conflict
 	if ctx.Err() != nil || errors.As(err, &conflict) && !conflict.Has(key) {
 		return 0, false
@@ -268,7 +268,7 @@
 	return item.Version, err == nil || errors.Is(err, state.ErrNotFound)
 }
 
-func (s *Share) commit(ctx context.Context, pw *pageWrite) {
+func (s *Scheduler) commit(ctx context.Context, pw *pageWrite) {
 	version, err := s.opts.Committer.Commit(ctx, pw.write)
 	known := err == nil
 	if err != nil {
@@ -298,7 +298,7 @@
 const commitAgainAfter = 100 * time.Millisecond
 
 // recordedLocked draws the consequences of a write of records that was made.
-func (s *Share) recordedLocked(pw *pageWrite) {
+func (s *Scheduler) recordedLocked(pw *pageWrite) {
 	pw.page.size = pw.size
 	for _, m := range pw.recorded {
 		if m.page == pw.page {
@@ -324,7 +324,7 @@
 }
 
 // notRecordedLocked draws the consequences of a write of records that failed.
-func (s *Share) notRecordedLocked(pw *pageWrite, err error) {
+func (s *Scheduler) notRecordedLocked(pw *pageWrite, err error) {
 	s.log.Debug("recording placements failed", "err", err)
 	pw.page.untidy = true
 	if pw.removes {
@@ -348,7 +348,7 @@
 
 // dropUnsentLocked drops the placements of a job that is over, none of which
 // was sent.
-func (s *Share) dropUnsentLocked(pw *pageWrite, id string) {
+func (s *Scheduler) dropUnsentLocked(pw *pageWrite, id string) {
 	for m := range pw.attempts {
 		for _, a := range m.Attempts.All() {
 			if a.Job == id && a.Unsent() {
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -55,13 +55,13 @@
 }
 
 // beginPassLocked forgets what the last pass has found.
-func (s *Share) beginPassLocked() {
+func (s *Scheduler) beginPassLocked() {
 	s.pass = pass{number: s.pass.number + 1, full: map[shape]bool{}, lacks: map[placement.Resources]bool{}}
 }
 
 // lacksRoomLocked tells whether no machine has room for a task of the size: it
 // need not be walked for, whatever it is bound to.
-func (s *Share) lacksRoomLocked(size placement.Resources, now time.Time) bool {
+func (s *Scheduler) lacksRoomLocked(size placement.Resources, now time.Time) bool {
 	if s.pass.lacks[size] {
 		return true
 	}
@@ -75,7 +75,7 @@
 }
 
 // reservedLocked counts the tasks of guests that room is kept for, by job.
-func (s *Share) reservedLocked(now time.Time) map[string]int {
+func (s *Scheduler) reservedLocked(now time.Time) map[string]int {
 	if s.pass.reserved == nil {
 		s.pass.reserved = map[string]int{}
 		for _, m := range s.machines {
@@ -90,7 +90,7 @@
 }
 
 // lookLocked brings up to date what the pass knows of a machine.
-func (s *Share) lookLocked(m *machine, now time.Time) {
+func (s *Scheduler) lookLocked(m *machine, now time.Time) {
 	if m.looked == s.pass.number && m.looked > 0 {
 		return
 	}
@@ -103,7 +103,7 @@
 // idleMachinesLocked returns the machines that were usable and not open when
 // the pass first asked, spot ones before ordinary ones, which other jobs may
 // need, then by name.
-func (s *Share) idleMachinesLocked(now time.Time) []*machine {
+func (s *Scheduler) idleMachinesLocked(now time.Time) []*machine {
 	if s.pass.idle == nil {
 		s.pass.idle = []*machine{}
 		for _, m := range s.machines {
@@ -123,7 +123,7 @@
 
 // idleLocked returns the idle machine to open for the job: one that holds its
 // image before others.
-func (s *Share) idleLocked(js *jobState, now time.Time) *machine {
+func (s *Scheduler) idleLocked(js *jobState, now time.Time) *machine {
 	var first *machine
 	for _, m := range s.idleMachinesLocked(now) {
 		if s.list.Has(m) || s.machines[m.Name] != m || !s.fitsLocked(js, m, now) {
@@ -141,7 +141,7 @@
 
 // mayPreemptAnyLocked tells whether there can be any task that the job may
 // have stopped: looking for the best on every machine takes long.
-func (s *Share) mayPreemptAnyLocked(js *jobState, guaranteed bool) bool {
+func (s *Scheduler) mayPreemptAnyLocked(js *jobState, guaranteed bool) bool {
 	if p := &s.pass; !p.victims {
 		p.victims = true
 		for _, m := range s.machines {
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -12,7 +12,7 @@
 // placeGangLocked places all tasks of a gang in one walk, opening machines as
 // needed, or none: then its bookings are freed. While some tasks of an earlier
 // try may still run, the others wait: without peers they end by themselves.
-func (s *Share) placeGangLocked(js *jobState, now time.Time) {
+func (s *Scheduler) placeGangLocked(js *jobState, now time.Time) {
 	if len(js.live) > 0 || !s.withinLimitBy(js, js.pending()) {
 		return
 	}
@@ -67,7 +67,7 @@
 // placeJobLocked places a job's tasks as far as there is room. With held, they
 // go where the job's image is, and elsewhere only once the job has passed up
 // enough.
-func (s *Share) placeJobLocked(js *jobState, now time.Time, held bool) {
+func (s *Scheduler) placeJobLocked(js *jobState, now time.Time, held bool) {
 	for {
 		index, ok := js.nextTask()
 		if !ok {
@@ -113,7 +113,7 @@
 	}
 }
 
-func (s *Share) fits(js *jobState, now time.Time) func(*machine) bool {
+func (s *Scheduler) fits(js *jobState, now time.Time) func(*machine) bool {
 	return func(m *machine) bool { return s.fitsLocked(js, m, now) }
 }
 
@@ -122,7 +122,7 @@
 // used one that fits, else an idle one, which it opens. For a service, room is
 // made on one of those before another machine fetches the image; wait tells
 // that this is under way.
-func (s *Share) findHeldLocked(js *jobState, now time.Time, guaranteed bool) (m *machine, wait bool) {
+func (s *Scheduler) findHeldLocked(js *jobState, now time.Time, guaranteed bool) (m *machine, wait bool) {
 	if s.lacksRoomLocked(js.size, now) {
 		return nil, js.service() && s.preemptLocked(js, now, true, guaranteed)
 	}
@@ -152,7 +152,7 @@
 // findAnyLocked chooses among all machines in the same way. Replicas stacked on one machine
 // are all lost with it, and their images are then nowhere else: as long as
 // another machine can take a replica, they fill half of one at most.
-func (s *Share) findAnyLocked(js *jobState, now time.Time) *machine {
+func (s *Scheduler) findAnyLocked(js *jobState, now time.Time) *machine {
 	if s.lacksRoomLocked(js.size, now) {
 		return nil
 	}
@@ -178,7 +178,7 @@
 }
 
 // hasRoomLocked tells whether any machine takes a task of the job.
-func (s *Share) hasRoomLocked(js *jobState, now time.Time) bool {
+func (s *Scheduler) hasRoomLocked(js *jobState, now time.Time) bool {
 	if s.lacksRoomLocked(js.size, now) {
 		return false
 	}
@@ -195,7 +195,7 @@
 const heldPatience = 300 * time.Millisecond
 
 // awaitHeldLocked tells whether the other shares are still to be asked.
-func (s *Share) awaitHeldLocked(js *jobState, now time.Time) bool {
+func (s *Scheduler) awaitHeldLocked(js *jobState, now time.Time) bool {
 	if js.rec.Job.Kind != wire.KindService || len(s.div.Members) < 2 {
 		return false
 	}
@@ -208,7 +208,7 @@
 
 // belowHalfLocked tells whether one more replica leaves services on at most
 // half of the machine.
-func (s *Share) belowHalfLocked(js *jobState, m *machine) bool {
+func (s *Scheduler) belowHalfLocked(js *jobState, m *machine) bool {
 	if m == nil || m.Type == nil {
 		return false
 	}
@@ -222,13 +222,13 @@
 }
 
 // acceptsLocked tells whether new tasks may go to the machine, if there is room.
-func (s *Share) acceptsLocked(m *machine, now time.Time) bool {
+func (s *Scheduler) acceptsLocked(m *machine, now time.Time) bool {
 	return s.synced(m) && m.Type != nil && !m.returning && !m.condemned && !m.suspect && m.failures == 0 && m.unreachableSince.IsZero() &&
 		m.Notice.IsZero() && !now.Before(m.cooling) && now.Sub(m.LastReport) < s.silentAfter() && !s.stoppedReporting(m, now)
 }
 
 // usableLocked tells whether new tasks may go to the machine at all.
-func (s *Share) usableLocked(m *machine, now time.Time) bool {
+func (s *Scheduler) usableLocked(m *machine, now time.Time) bool {
 	if !s.acceptsLocked(m, now) {
 		return false
 	}
@@ -236,14 +236,14 @@
 	return sized
 }
 
-func (s *Share) fitsLocked(js *jobState, m *machine, now time.Time) bool {
+func (s *Scheduler) fitsLocked(js *jobState, m *machine, now time.Time) bool {
 	if s.lookLocked(m, now); !m.usable || !js.size.Within(m.free) {
 		return false
 	}
 	return (len(m.reservations) == 0 || js.size.Within(s.roomLocked(m, js.rec.Job.ID, now))) && s.allowedLocked(js, m)
 }
 
-func (s *Share) allowedLocked(js *jobState, m *machine) bool {
+func (s *Scheduler) allowedLocked(js *jobState, m *machine) bool {
 	if !placement.Allows(&js.rec.Job, m.Place(), placement.Spread{ByZone: js.zones}) {
 		return false
 	}
@@ -255,7 +255,7 @@
 
 // placeLocked books a task on a machine. The attempt's number rises with each
 // placement, across controllers and restarts, since tokens do.
-func (s *Share) placeLocked(js *jobState, index int, m *machine, now time.Time) *fleet.Attempt {
+func (s *Scheduler) placeLocked(js *jobState, index int, m *machine, now time.Time) *fleet.Attempt {
 	a := s.newAttempt(js, index)
 	m.Add(a, now)
 	m.looked = 0
@@ -267,7 +267,7 @@
 
 // numbersLeftLocked makes sure that there are numbers for attempts under the
 // token, and returns false while there are not.
-func (s *Share) numbersLeftLocked(now time.Time) bool {
+func (s *Scheduler) numbersLeftLocked(now time.Time) bool {
 	left := s.numbers.left(s.div.Token)
 	if left < fewNumbersLeft {
 		s.raiseLocked(now)
@@ -275,7 +275,7 @@
 	return left >= noNumbersLeft
 }
 
-func (s *Share) newAttempt(js *jobState, index int) *fleet.Attempt {
+func (s *Scheduler) newAttempt(js *jobState, index int) *fleet.Attempt {
 	j := &js.rec.Job
 	a := &fleet.Attempt{Key: fleet.Key{Task: wire.TaskID(j.ID, index), Attempt: s.numbers.next(s.div.Token)}, Job: j.ID, Index: index}
 	s.describe(a, j, js.rank)
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -16,7 +16,7 @@
 // the rules of preemption permit, on the machine where that loses least; if
 // so asked, only on machines that hold the job's image. It tells whether room
 // is being made.
-func (s *Share) preemptLocked(js *jobState, now time.Time, held, guaranteed bool) bool {
+func (s *Scheduler) preemptLocked(js *jobState, now time.Time, held, guaranteed bool) bool {
 	if !s.mayPreemptAnyLocked(js, guaranteed) {
 		return false
 	}
@@ -82,14 +82,14 @@
 }
 
 // lossOf is what stopping an attempt loses, in seconds of work.
-func (s *Share) lossOf(a *fleet.Attempt, now time.Time) float64 {
+func (s *Scheduler) lossOf(a *fleet.Attempt, now time.Time) float64 {
 	if a.Running.IsZero() {
 		return 0
 	}
 	return 1 + now.Sub(a.Running).Seconds()
 }
 
-func (s *Share) stoppingLocked() bool {
+func (s *Scheduler) stoppingLocked() bool {
 	for _, m := range s.machines {
 		for _, a := range m.Attempts.All() {
 			if a.Stop && !a.Exited() {
@@ -103,7 +103,7 @@
 // mayPreempt: a higher priority may stop a lower one, and a team that gets
 // its guarantee may stop any work that another runs above its own. What a
 // team of another share uses is not known here.
-func (s *Share) mayPreempt(js *jobState, victim *fleet.Attempt, guaranteed bool) bool {
+func (s *Scheduler) mayPreempt(js *jobState, victim *fleet.Attempt, guaranteed bool) bool {
 	if js.rank < victim.Rank {
 		return true
 	}
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -116,7 +116,7 @@
 // scheduleLocked places what can be placed: by priority, then teams within
 // their guarantee, then what can be in time, the least work first. A job that
 // finds no room does not hold up the others.
-func (s *Share) scheduleLocked(now time.Time) {
+func (s *Scheduler) scheduleLocked(now time.Time) {
 	if !s.loaded || !s.permitted() {
 		return
 	}
@@ -163,7 +163,7 @@
 
 // serveLocked gives a job what there is for it. With held, an array goes only
 // where its image is.
-func (s *Share) serveLocked(js *jobState, now time.Time, held bool) {
+func (s *Scheduler) serveLocked(js *jobState, now time.Time, held bool) {
 	switch {
 	case js.guest:
 		s.reserveLocked(js, now, held)
@@ -180,7 +180,7 @@
 // passesUpLocked tells whether a job leaves a machine that would have to fetch
 // its image to others whose image it holds: for as long as the fetch would
 // take, since then waiting has cost as much, and whenever one before it does.
-func (s *Share) passesUpLocked(js *jobState, now time.Time) bool {
+func (s *Scheduler) passesUpLocked(js *jobState, now time.Time) bool {
 	if js.passedUp.IsZero() {
 		js.passedUp = now
 	}
@@ -194,7 +194,7 @@
 const longestFetch = 10 * time.Second
 
 // fetchTime is about how long a machine takes to fetch a job's image.
-func (s *Share) fetchTime(j *wire.Job) time.Duration {
+func (s *Scheduler) fetchTime(j *wire.Job) time.Duration {
 	longest := time.Duration(0)
 	for _, t := range s.types {
 		if t.FetchGBPerS > 0 {
@@ -210,7 +210,7 @@
 
 // reserveLocked keeps free room for the tasks that a guest has asked for in
 // vain: on open machines first, then on idle ones.
-func (s *Share) reserveLocked(g *jobState, now time.Time, held bool) {
+func (s *Scheduler) reserveLocked(g *jobState, now time.Time, held bool) {
 	id := g.rec.Job.ID
 	kept := s.reservedLocked(now)
 	wants := min(g.asked, maxAskedPerJob) - kept[id]
@@ -242,7 +242,7 @@
 
 // roomLocked is the machine's free room less what is kept for guests other
 // than the job.
-func (s *Share) roomLocked(m *machine, job string, now time.Time) placement.Resources {
+func (s *Scheduler) roomLocked(m *machine, job string, now time.Time) placement.Resources {
 	s.lookLocked(m, now)
 	room := m.free
 	m.reservations = slices.DeleteFunc(m.reservations, func(k reservation) bool { return !now.Before(k.until) })
@@ -276,7 +276,7 @@
 }
 
 // sortQueueLocked puts jobs in the order in which they are served.
-func (s *Share) sortQueueLocked(queue []*jobState, now time.Time) []turn {
+func (s *Scheduler) sortQueueLocked(queue []*jobState, now time.Time) []turn {
 	turns := make([]turn, len(queue))
 	for i, js := range queue {
 		turns[i] = turn{js: js, rank: js.rank, guaranteed: -boolInt(s.guaranteed(js)),
@@ -304,7 +304,7 @@
 
 // guaranteed tells whether one more task of the job stays within its team's
 // guarantee.
-func (s *Share) guaranteed(js *jobState) bool {
+func (s *Scheduler) guaranteed(js *jobState) bool {
 	if js.guest {
 		return js.guestGuaranteed
 	}
@@ -315,9 +315,9 @@
 
 // withinLimit tells whether one more task of the job stays within its team's
 // limit, counting all that may still be on a machine.
-func (s *Share) withinLimit(js *jobState) bool { return s.withinLimitBy(js, 1) }
+func (s *Scheduler) withinLimit(js *jobState) bool { return s.withinLimitBy(js, 1) }
 
-func (s *Share) withinLimitBy(js *jobState, tasks int) bool {
+func (s *Scheduler) withinLimitBy(js *jobState, tasks int) bool {
 	t := s.teams[js.rec.Job.Team]
 	after := s.used[js.rec.Job.Team].Plus(js.size.Times(float64(tasks)))
 	return (t.CPUsMax == 0 || after.CPUs <= t.CPUsMax) && (t.GPUsMax == 0 || after.GPUs <= t.GPUsMax)
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -17,7 +17,7 @@
 // rebuild makes the share fit a new division: it lets go of jobs that are no
 // longer its own, takes machines without an owner, and reads from the records
 // what may be where, before anything of that is placed.
-func (s *Share) rebuild(ctx context.Context, epoch cluster.Epoch, condition wire.Condition, gained []*job.Record, adopt []string) {
+func (s *Scheduler) rebuild(ctx context.Context, epoch cluster.Epoch, condition wire.Condition, gained []*job.Record, adopt []string) {
 	s.mu.Lock()
 	first := !s.loaded
 	// A new leader also has what the one before had without writing it.
@@ -84,7 +84,7 @@
 
 // gainsLimit tells whether a team whose limit this share now keeps was
 // another's: what may still run of it, also of jobs that are over, counts.
-func (s *Share) gainsLimit(epoch *cluster.Epoch) bool {
+func (s *Scheduler) gainsLimit(epoch *cluster.Epoch) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name, t := range s.teams {
@@ -98,7 +98,7 @@
 // countOverLocked counts what may still run on the share's machines of jobs that
 // are over, of teams that are now its own. Nobody accepts, gains or places such
 // a job, but its tasks use up the team's limit until they are surely gone.
-func (s *Share) countOverLocked() {
+func (s *Scheduler) countOverLocked() {
 	for _, m := range s.machines {
 		for _, a := range m.Attempts.All() {
 			if !a.Counted && a.Sized && !a.Exited() && s.jobs[a.Job] == nil && s.opts.Jobs.Active(a.Job) == nil &&
@@ -128,7 +128,7 @@
 // resolvers is how many jobs are looked up at once.
 const resolvers = 8
 
-func (s *Share) readRecords(ctx context.Context) (r records, err error) {
+func (s *Scheduler) readRecords(ctx context.Context) (r records, err error) {
 	items, _, err := s.opts.Records.List(ctx, state.Urgent, fleet.RecordPrefix)
 	if err != nil {
 		return r, err
@@ -187,7 +187,7 @@
 // placeRecordsLocked takes from the records what may be on machines: on those
 // that are adopted, and on others' as far as own jobs are concerned. It
 // returns how many machines were adopted.
-func (s *Share) placeRecordsLocked(r records, adopt []string, gained map[string]bool, now time.Time) int {
+func (s *Scheduler) placeRecordsLocked(r records, adopt []string, gained map[string]bool, now time.Time) int {
 	// Guests here whose jobs have become ours.
 	for _, m := range s.machines {
 		for _, a := range m.Attempts.All() {
@@ -243,7 +243,7 @@
 // does, as it does with the machines. It returns nil for another's page, and
 // for one that is this share's already: what that says of a machine that is
 // only now taken is from before the machine was given away, idle.
-func (s *Share) takePageLocked(rp recordPage) *page {
+func (s *Scheduler) takePageLocked(rp recordPage) *page {
 	if s.records.pages[rp.key] != nil {
 		return nil
 	}
@@ -257,7 +257,7 @@
 }
 
 // lendRecordLocked takes in what another's machine may hold of own jobs.
-func (s *Share) lendRecordLocked(fm *fleet.Machine, host string, ended map[string]job.Final, gained map[string]bool) {
+func (s *Scheduler) lendRecordLocked(fm *fleet.Machine, host string, ended map[string]job.Final, gained map[string]bool) {
 	for _, a := range fm.Attempts.All() {
 		if f, over := ended[a.Job]; over && s.div.OwnerOf(f.Team, a.Job) == s.opts.Node {
 			a.Team, a.Size, a.Sized = f.Team, sizeOf(f), true
@@ -271,7 +271,7 @@
 
 // adoptMachineLocked takes a machine with what the records say may be on it.
 // on are the pages that hold those: the first is its own from now on.
-func (s *Share) adoptMachineLocked(fm *fleet.Machine, on []*page, ended map[string]job.Final, now time.Time) {
+func (s *Scheduler) adoptMachineLocked(fm *fleet.Machine, on []*page, ended map[string]job.Final, now time.Time) {
 	answered := s.answeredEarly[fm.Name]
 	m := s.addMachineLocked(fm, now)
 	m.LastAnswer = answered
--- a/internal/scheduler/relief.go
+++ b/internal/scheduler/relief.go
@@ -18,7 +18,7 @@
 
 // overloadedLocked tells whether this controller was short of processor time
 // lately.
-func (s *Share) overloadedLocked(now time.Time) bool {
+func (s *Scheduler) overloadedLocked(now time.Time) bool {
 	if s.busy() {
 		s.overloaded = now
 	}
@@ -28,7 +28,7 @@
 // relieveLocked gives idle machines to the member with the fewest, if this share
 // is short of processor time and that member is not: half of those it can spare,
 // until both have as many.
-func (s *Share) relieveLocked(now time.Time) {
+func (s *Scheduler) relieveLocked(now time.Time) {
 	if !s.loaded || !s.permitted() || !s.overloadedLocked(now) || now.Sub(s.relieved) < relieveEvery {
 		return
 	}
@@ -45,7 +45,7 @@
 // reliefLocked returns the member with the fewest machines, and how many of this
 // share's would have both look after as many; none if that member is itself short
 // of processor time.
-func (s *Share) reliefLocked() (node string, surplus int) {
+func (s *Scheduler) reliefLocked() (node string, surplus int) {
 	for candidate, load := range s.opts.Authority.Loads() {
 		if n := (len(s.machines) - load.Machines) / 2; !load.Overloaded && (n > surplus || n == surplus && candidate < node) {
 			node, surplus = candidate, n
--- a/internal/scheduler/rent.go
+++ b/internal/scheduler/rent.go
@@ -55,7 +55,7 @@
 
 // wantsLocked tells the peers what finds no room here: one controller rents,
 // and must know of all that waits, not only of what it is just asked to place.
-func (s *Share) wantsLocked(now time.Time) []*peerpb.Want {
+func (s *Scheduler) wantsLocked(now time.Time) []*peerpb.Want {
 	var wants []*peerpb.Want
 	for id, js := range s.jobs {
 		if n := js.wants(now); n > 0 && len(wants) < maxWants {
@@ -67,7 +67,7 @@
 
 // demandLocked gathers what finds no room in any share, in the order in which
 // it is rented for.
-func (s *Share) demandLocked(now time.Time) []demand {
+func (s *Scheduler) demandLocked(now time.Time) []demand {
 	var all []demand
 	for _, js := range s.jobs {
 		if n := js.wants(now); n > 0 {
@@ -94,7 +94,7 @@
 // wantLocked works out which machines to rent: what waits is packed onto the
 // machines that are on their way, then onto new ones, and a reserve is kept
 // for bursts and losses.
-func (s *Share) wantLocked(now time.Time) []wire.RentRequest {
+func (s *Scheduler) wantLocked(now time.Time) []wire.RentRequest {
 	if !s.loaded || !s.permitted() {
 		return nil
 	}
@@ -180,7 +180,7 @@
 // reserveLackLocked returns the CPUs that the reserve lacks: a part of the
 // machines in use, idle or on their way, to take bursts and what dead machines
 // leave.
-func (s *Share) reserveLackLocked(coming []*virtual, now time.Time) float64 {
+func (s *Scheduler) reserveLackLocked(coming []*virtual, now time.Time) float64 {
 	var free, total placement.Resources
 	inUse := 0
 	for _, m := range s.machines {
@@ -206,7 +206,7 @@
 // offerLocked chooses what to rent for a job: spot if it may, the cheapest
 // per CPU, in the zone with the fewest machines; not what the cloud has just
 // refused. perZone counts the machines that there are.
-func (s *Share) offerLocked(j *wire.Job, size placement.Resources, zones, perZone map[string]int, now time.Time) *offer {
+func (s *Scheduler) offerLocked(j *wire.Job, size placement.Resources, zones, perZone map[string]int, now time.Time) *offer {
 	var best *offer
 	cost := func(o *offer) float64 {
 		if o.place.Spot {
@@ -237,7 +237,7 @@
 
 // rent rents what is wanted. What former holders of the duty, or earlier rounds, have
 // recorded and not seen answered comes first: its machines may be there.
-func (s *Share) rent(ctx context.Context) {
+func (s *Scheduler) rent(ctx context.Context) {
 	open := s.opts.Actions.OpenRentals()
 	var requests []wire.RentRequest
 	if len(open) == 0 {
@@ -263,7 +263,7 @@
 }
 
 // rentAnew records requests and sends them.
-func (s *Share) rentAnew(ctx context.Context, guard duty.Guard, requests []wire.RentRequest) {
+func (s *Scheduler) rentAnew(ctx context.Context, guard duty.Guard, requests []wire.RentRequest) {
 	s.mu.Lock()
 	fence := s.fenceLocked()
 	s.mu.Unlock()
@@ -277,7 +277,7 @@
 
 // rentRecorded sends recorded requests, one after the other, and closes their intent
 // once all are answered. It returns false while one is not.
-func (s *Share) rentRecorded(ctx context.Context, guard duty.Guard, open duty.OpenRental) bool {
+func (s *Scheduler) rentRecorded(ctx context.Context, guard duty.Guard, open duty.OpenRental) bool {
 	answered := true
 	for _, req := range open.Requests {
 		if ctx.Err() != nil {
@@ -293,7 +293,7 @@
 
 // rentOne sends one request, a few times if it must, and takes what it brings. It
 // returns false if there was no answer.
-func (s *Share) rentOne(ctx context.Context, guard duty.Guard, req wire.RentRequest) bool {
+func (s *Scheduler) rentOne(ctx context.Context, guard duty.Guard, req wire.RentRequest) bool {
 	var names []string
 	var err error
 	for range 3 {
@@ -310,7 +310,7 @@
 }
 
 // takeRentalLocked takes what a request has brought.
-func (s *Share) takeRentalLocked(req wire.RentRequest, names []string, err error) {
+func (s *Scheduler) takeRentalLocked(req wire.RentRequest, names []string, err error) {
 	place := placement.Place{Type: req.Type, Zone: req.Zone, Spot: req.Spot}
 	now := time.Now()
 	filled := err == nil && len(names) >= req.Count
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -13,7 +13,7 @@
 // answeredLocked notes whether a direct message was answered. Reports that
 // arrive are no proof that anything reaches the worker: one that does not
 // answer gets nothing new.
-func (s *Share) answeredLocked(m *machine, err error) bool {
+func (s *Scheduler) answeredLocked(m *machine, err error) bool {
 	if err == nil {
 		m.unreachableSince, m.unansweredProbes = time.Time{}, 0
 		return true
@@ -27,7 +27,7 @@
 
 // Checkin takes a worker's report. It returns nil if this share has no right
 // to answer it.
-func (s *Share) Checkin(r *wire.Report) *wire.ReportReply {
+func (s *Scheduler) Checkin(r *wire.Report) *wire.ReportReply {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,13 +84,13 @@
 
 // doubtFor is how long a worker is answered though it has tasks of jobs of which
 // nothing is known.
-func (s *Share) doubtFor() time.Duration { return s.opts.Settings.LeaseFor / 4 }
+func (s *Scheduler) doubtFor() time.Duration { return s.opts.Settings.LeaseFor / 4 }
 
 // doubtfulLocked tells whether a worker has had tasks of unknown jobs for so
 // long that its lease must lapse. Such a job may be over: cancelled before this
 // controller read the jobs, while the state service, which would tell, is out
 // for longer than the tasks may stay.
-func (s *Share) doubtfulLocked(r *wire.Report, now time.Time) bool {
+func (s *Scheduler) doubtfulLocked(r *wire.Report, now time.Time) bool {
 	m := s.machines[r.Machine]
 	unknown := slices.ContainsFunc(r.Tasks, func(t wire.TaskReport) bool {
 		id, _, ok := wire.SplitTaskID(t.Task)
@@ -118,7 +118,7 @@
 
 // stopsOfOverLocked stops, of the tasks that a report shows, those whose jobs
 // are over: their machine's records may not be readable for long.
-func (s *Share) stopsOfOverLocked(r *wire.Report) []wire.Command {
+func (s *Scheduler) stopsOfOverLocked(r *wire.Report) []wire.Command {
 	stops := []wire.Command{}
 	for _, t := range r.Tasks {
 		id, _, ok := wire.SplitTaskID(t.Task)
@@ -131,7 +131,7 @@
 }
 
 // applyLocked takes a report or the answer to a direct command.
-func (s *Share) applyLocked(m *machine, r *wire.Report) bool {
+func (s *Scheduler) applyLocked(m *machine, r *wire.Report) bool {
 	if s.machines[m.Name] != m || r.Machine != m.Name {
 		return false
 	}
@@ -156,7 +156,7 @@
 
 // wantsDirectLocked tells whether waiting for the next report would cost
 // time: stops make room for what waits.
-func (s *Share) wantsDirectLocked(m *machine) bool {
+func (s *Scheduler) wantsDirectLocked(m *machine) bool {
 	for _, a := range m.Attempts.All() {
 		if a.Stop && a.State != "" && !a.Exited() && a.State != wire.TaskSaving {
 			return true
@@ -167,10 +167,10 @@
 
 // synced tells whether the machine's report under its owner's token has come:
 // then its record is settled.
-func (s *Share) synced(m *machine) bool { return m.Reported && m.Token >= m.base }
+func (s *Scheduler) synced(m *machine) bool { return m.Reported && m.Token >= m.base }
 
 // handleLocked draws the consequences of what a report or a proof told.
-func (s *Share) handleLocked(m *machine, events []fleet.Event) {
+func (s *Scheduler) handleLocked(m *machine, events []fleet.Event) {
 	for _, e := range events {
 		a := e.Attempt
 		switch e.Kind {
@@ -199,7 +199,7 @@
 }
 
 // closeIfEmptyLocked takes a machine whose last task has ended off the list.
-func (s *Share) closeIfEmptyLocked(m *machine) {
+func (s *Scheduler) closeIfEmptyLocked(m *machine) {
 	if m.Live() > 0 {
 		if !s.list.Has(m) {
 			s.list.Append(m)
@@ -217,7 +217,7 @@
 
 // command sends commands straight to a worker, for as long
 // as commandTimeout allows.
-func (s *Share) command(ctx context.Context, address string, req *wire.CommandRequest) (*wire.Report, error) {
+func (s *Scheduler) command(ctx context.Context, address string, req *wire.CommandRequest) (*wire.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	return s.opts.Workers.Command(ctx, address, req)
@@ -225,7 +225,7 @@
 
 // sendLocked sends a worker what it should be told, without waiting for its
 // next report.
-func (s *Share) sendLocked(m *machine) {
+func (s *Scheduler) sendLocked(m *machine) {
 	if m.sending {
 		m.sendAgain = true
 		return
--- a/internal/scheduler/returns.go
+++ b/internal/scheduler/returns.go
@@ -30,13 +30,13 @@
 
 // returnLocked gives machines of the share back. When the cloud says so, they and all
 // that was on them are gone.
-func (s *Share) returnLocked(machines []*machine, why string) {
+func (s *Scheduler) returnLocked(machines []*machine, why string) {
 	s.returnUnderLocked(duty.ID{Name: duty.Return, Scope: duty.Share(s.opts.Node)}, machines, why)
 }
 
 // returnNamesLocked gives back machines that may have no worker, and that no share
 // looks after.
-func (s *Share) returnNamesLocked(names []string, why string) {
+func (s *Scheduler) returnNamesLocked(names []string, why string) {
 	var known []*machine
 	for _, name := range names {
 		m := s.machines[name]
@@ -48,7 +48,7 @@
 	s.returnUnderLocked(duty.ID{Name: duty.Reclaim, Scope: duty.Fleet}, known, why)
 }
 
-func (s *Share) returnUnderLocked(id duty.ID, machines []*machine, why string) {
+func (s *Scheduler) returnUnderLocked(id duty.ID, machines []*machine, why string) {
 	now := time.Now()
 	var names []string
 	for _, m := range machines {
@@ -70,7 +70,7 @@
 }
 
 // giveBack records that machines are to be returned, and returns them.
-func (s *Share) giveBack(ctx context.Context, id duty.ID, fence state.Fence, names []string, why string) {
+func (s *Scheduler) giveBack(ctx context.Context, id duty.ID, fence state.Fence, names []string, why string) {
 	send, err := s.condemn(ctx, id, fence, names, why)
 	if err != nil {
 		s.log.Info("machines are not returned for now", "machines", names, "err", err)
@@ -103,7 +103,7 @@
 
 // condemn records the return and gives what then carries it out. A cancelled task must
 // be gone by a time, also while the store cannot be reached.
-func (s *Share) condemn(ctx context.Context, id duty.ID, fence state.Fence, names []string, why string) (send func(context.Context) error, err error) {
+func (s *Scheduler) condemn(ctx context.Context, id duty.ID, fence state.Fence, names []string, why string) (send func(context.Context) error, err error) {
 	recording, overdue := ctx, why == whyOverdue
 	if overdue {
 		var cancel context.CancelFunc
@@ -118,7 +118,7 @@
 }
 
 // keepLocked keeps machines whose return could not be recorded.
-func (s *Share) keepLocked(names []string) {
+func (s *Scheduler) keepLocked(names []string) {
 	for _, name := range names {
 		if m := s.machines[name]; m != nil {
 			m.returning, m.returnAgain = false, time.Now().Add(returnAgainAfter)
@@ -128,7 +128,7 @@
 
 // abandonedLocked returns the condemned machines that are on no record of tasks and
 // whose owners are no members any more. Those with records are adopted first.
-func (s *Share) abandonedLocked() []string {
+func (s *Scheduler) abandonedLocked() []string {
 	if !s.leadsLocked() || s.adopted != s.opts.Authority.Token() || !s.permitted() {
 		return nil
 	}
@@ -142,16 +142,16 @@
 }
 
 // cleanupDuty is the duty of removing the share's records.
-func (s *Share) cleanupDuty() duty.ID {
+func (s *Scheduler) cleanupDuty() duty.ID {
 	return duty.ID{Name: duty.Cleanup, Scope: duty.Share(s.opts.Node)}
 }
 
 // cleanupGuard returns the right to remove the share's records.
-func (s *Share) cleanupGuard() (duty.Guard, error) { return s.opts.Actions.Guard(s.cleanupDuty()) }
+func (s *Scheduler) cleanupGuard() (duty.Guard, error) { return s.opts.Actions.Guard(s.cleanupDuty()) }
 
 // closeReturnsLocked removes the intents whose machines are gone, once no other
 // controller takes those for machines that are there.
-func (s *Share) closeReturnsLocked() {
+func (s *Scheduler) closeReturnsLocked() {
 	if !s.opts.Actions.Active() || !s.loaded {
 		return
 	}
--- a/internal/scheduler/share.go
+++ b/internal/scheduler/scheduler.go
@@ -1,7 +1,3 @@
-// Package scheduler runs a share: it queues the tasks of its jobs, places
-// them by Move To Front on its machines, preempts, and rents and returns
-// machines. What may be on each machine is in the store before a worker can
-// see it, and a task is placed again only when it is proven gone.
 package scheduler
 
 import (
@@ -27,13 +23,14 @@
 	"heronwick/wire"
 )
 
-// Authority says under which epoch this share commands, what it owns, and what
-// is proven about other controllers.
+// Authority is the scheduler's view of the cluster: the epoch under which it
+// acts as leader or follower, the fencing token it writes under, which
+// machines it owns, and what is proven about other controllers.
 type Authority interface {
 	Division() (cluster.Epoch, wire.Condition)
 	Token() uint64
-	// Permit tells whether the share may answer and command workers now, and
-	// under which token.
+	// Permit tells whether the scheduler may answer and command workers now,
+	// and under which fencing token.
 	Permit() (token uint64, ok bool)
 	Fenced(token uint64) (time.Time, bool)
 	Raise(ctx context.Context) error
@@ -50,7 +47,7 @@
 	Wants() []*peerpb.Want
 }
 
-// Workers sends straight to workers.
+// Workers sends commands and status requests straight to workers, by address.
 type Workers interface {
 	Command(ctx context.Context, address string, req *wire.CommandRequest) (*wire.Report, error)
 	Status(ctx context.Context, address string) (*wire.Report, error)
@@ -61,13 +58,13 @@
 	List(ctx context.Context) ([]wire.Machine, error)
 }
 
-// Peers are the other controllers' shares.
+// Peers are the schedulers of the other controllers, by node name.
 type Peers interface {
 	Place(ctx context.Context, node string, req *peerpb.PlaceRequest) (*peerpb.PlaceReply, error)
 	Settle(ctx context.Context, node string, req *peerpb.SettleRequest) (*peerpb.SettleReply, error)
 }
 
-// Jobs holds the jobs' records.
+// Jobs holds the jobs' records and tells the scheduler of new and ended jobs.
 type Jobs interface {
 	Listen(l job.Listener)
 	Active(id string) *job.Record
@@ -80,18 +77,19 @@
 	SetProgress(id string, p job.Progress)
 }
 
-// Records reads and writes the machines' records.
+// Records reads the machines' records from the consensus-backed key-value store.
 type Records interface {
 	Get(ctx context.Context, p state.Priority, key string) (wire.Item, error)
 	List(ctx context.Context, p state.Priority, prefix string) ([]wire.Item, uint64, error)
 }
 
-// Committer writes in groups.
+// Committer writes to the consensus-backed key-value store; several writes
+// may be committed together. It returns the version of the commit.
 type Committer interface {
 	Commit(ctx context.Context, w state.Write) (uint64, error)
 }
 
-// Options are what a Share needs.
+// Options configure a Scheduler. All fields but Latency are required.
 type Options struct {
 	Node      string
 	Settings  *config.Settings
@@ -111,7 +109,7 @@
 	Log       *slog.Logger
 }
 
-// machine is a machine of the share, with what the share decides about it.
+// machine is a machine that the scheduler owns, with its decisions about it.
 type machine struct {
 	*fleet.Machine
 	page             *page   // where its record is; nil: it has none
@@ -139,7 +137,7 @@
 	idleSince        time.Time
 	cooling          time.Time // no placements before then
 	// Room that is kept for guests until they ask again: they are not in this
-	// share's queue.
+	// scheduler's queue.
 	reservations []reservation
 
 	base  uint64 // reports under older tokens do not settle its record
@@ -153,9 +151,9 @@
 	until time.Time
 }
 
-// Share is one controller's part of the cluster: its jobs, its machines and
-// its Move To Front list.
-type Share struct {
+// Scheduler schedules one controller's part of the cluster: its jobs, its
+// machines and its Move To Front list. Its methods are safe for concurrent use.
+type Scheduler struct {
 	opts  Options
 	log   *slog.Logger
 	types map[string]*wire.MachineType
@@ -175,11 +173,11 @@
 	loaded            bool
 	adopted           uint64 // under this epoch, machines without an owner have been taken
 	building          bool
-	begun             uint64               // version of the epoch when the share began
+	begun             uint64               // version of the epoch when the scheduler began
 	answeredEarly     map[string]time.Time // reports answered before the records were read
 	unknownTasksSince map[string]time.Time // since when machines have had tasks of unknown jobs
-	jobs              map[string]*jobState // the share's own
-	guests            map[string]*jobState // jobs of other shares that have, or want, tasks here
+	jobs              map[string]*jobState // the scheduler's own
+	guests            map[string]*jobState // jobs of other controllers that have, or want, tasks here
 	foreign           map[fleet.Key]*lent  // tasks of own jobs that may be on others' machines
 	denied            map[fleet.Key]time.Time
 	asking            map[string]*asking
@@ -217,9 +215,9 @@
 	cut               bool // most workers cannot be reached
 }
 
-// New makes a share; Run starts it.
-func New(opts Options) *Share {
-	s := &Share{
+// New returns a Scheduler for opts; Run starts it.
+func New(opts Options) *Scheduler {
+	s := &Scheduler{
 		opts: opts, log: opts.Log,
 		types: map[string]*wire.MachineType{}, teams: map[string]config.Team{},
 		wake:          make(chan struct{}, 1),
@@ -245,8 +243,9 @@
 	return s
 }
 
-// Run runs the share until ctx ends.
-func (s *Share) Run(ctx context.Context) error {
+// Run runs the scheduler until ctx ends, and returns the first error of its
+// goroutines.
+func (s *Scheduler) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	s.ctx, s.group = ctx, g
 	s.opts.Jobs.Listen(s)
@@ -257,15 +256,15 @@
 	return g.Wait()
 }
 
-// goDo starts work that belongs to the share and ends with it.
-func (s *Share) goDo(f func(ctx context.Context)) {
+// goDo starts work that belongs to the scheduler and ends with it.
+func (s *Scheduler) goDo(f func(ctx context.Context)) {
 	s.group.Go(func() error {
 		f(s.ctx)
 		return nil
 	})
 }
 
-func (s *Share) addMachineLocked(fm *fleet.Machine, now time.Time) *machine {
+func (s *Scheduler) addMachineLocked(fm *fleet.Machine, now time.Time) *machine {
 	m := &machine{Machine: fm, failedJobs: map[string]bool{}, idleSince: now}
 	m.Type = s.types[m.TypeName]
 	m.LastReport, m.lastOwnReport = now, now
@@ -277,15 +276,15 @@
 	return m
 }
 
-// logLoadEvery is how often the share logs how full it is.
+// logLoadEvery is how often the scheduler logs how full it is.
 const logLoadEvery = 10 * time.Second
 
-// tickEvery is how often the share looks after what nobody tells it of.
+// tickEvery is how often the scheduler looks after what nobody tells it of.
 const tickEvery = 200 * time.Millisecond
 
 // loop schedules whenever something has changed, and looks after the machines
 // at regular times.
-func (s *Share) loop(ctx context.Context) error {
+func (s *Scheduler) loop(ctx context.Context) error {
 	tick := time.NewTicker(tickEvery)
 	defer tick.Stop()
 	for {
@@ -309,7 +308,7 @@
 }
 
 // tick looks after machines, records and what others are told.
-func (s *Share) tick(now time.Time) {
+func (s *Scheduler) tick(now time.Time) {
 	s.divided.Store(false) // in case that a change went unnoticed
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -337,7 +336,7 @@
 }
 
 // schedule places what waits, and returns how long that took.
-func (s *Share) schedule() (took time.Duration) {
+func (s *Scheduler) schedule() (took time.Duration) {
 	began := time.Now()
 	s.mu.Lock()
 	locked := time.Now()
@@ -369,24 +368,24 @@
 // each report would take more than the share of a processor.
 const passEvery = 10 * time.Millisecond
 
-// Changed tells the share that the epoch or a machine's owner has changed.
-func (s *Share) Changed() { s.redivide() }
+// Changed tells the scheduler that the epoch or a machine's owner has changed.
+func (s *Scheduler) Changed() { s.redivide() }
 
 // redivide has the next pass look at who owns what.
-func (s *Share) redivide() {
+func (s *Scheduler) redivide() {
 	s.divided.Store(false)
 	s.poke()
 }
 
-func (s *Share) poke() {
+func (s *Scheduler) poke() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// permitted tells whether the share may act for its machines now.
-func (s *Share) permitted() bool {
+// permitted tells whether the scheduler may act for its machines now.
+func (s *Scheduler) permitted() bool {
 	_, ok := s.opts.Authority.Permit()
 	return ok
 }
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -8,7 +8,7 @@
 )
 
 // logLoadLocked tells an operator how full the share is.
-func (s *Share) logLoadLocked(now time.Time) {
+func (s *Scheduler) logLoadLocked(now time.Time) {
 	usable, open, tasks, waiting, notReady := 0, 0, 0, 0, 0
 	for _, m := range s.machines {
 		tasks += m.Live()
@@ -34,7 +34,7 @@
 }
 
 // statusLocked sums what the share has.
-func (s *Share) statusLocked(now time.Time) (idle int, total, free placement.Resources) {
+func (s *Scheduler) statusLocked(now time.Time) (idle int, total, free placement.Resources) {
 	for _, m := range s.machines {
 		if !s.usableLocked(m, now) {
 			continue
@@ -60,7 +60,7 @@
 // to each of two peers.
 const summarizeEvery = 500 * time.Millisecond
 
-func (s *Share) summarizeLocked(now time.Time) {
+func (s *Scheduler) summarizeLocked(now time.Time) {
 	idle, total, free := s.statusLocked(now)
 	s.summary.Store(&summary{machines: len(s.machines), idle: idle, cpus: total.CPUs, freeCPUs: free.CPUs,
 		cut: s.cut, overloaded: s.overloadedLocked(now), wants: s.wantsLocked(now)})
@@ -69,7 +69,7 @@
 // Status fills in what the peers are told of the share, as last summarized. It
 // takes no lock: a heartbeat must not wait behind passes and reports, or a busy
 // controller is taken for dead.
-func (s *Share) Status(status *peerpb.Status) {
+func (s *Scheduler) Status(status *peerpb.Status) {
 	sum := s.summary.Load()
 	if sum == nil {
 		return
--- a/internal/scheduler/takeover.go
+++ b/internal/scheduler/takeover.go
@@ -23,7 +23,7 @@
 
 // syncLocked shows a worker the new token soon and takes its report: until then
 // nothing may be placed on its machine.
-func (s *Share) syncLocked(m *machine) {
+func (s *Scheduler) syncLocked(m *machine) {
 	if m.mustStop() {
 		s.unsynced = slices.Insert(s.unsynced, 0, m)
 	} else {
@@ -44,7 +44,7 @@
 }
 
 // syncNextLocked goes on with the workers that still have not reported.
-func (s *Share) syncNextLocked() {
+func (s *Scheduler) syncNextLocked() {
 	for s.syncing < maxSyncs && len(s.unsynced) > 0 {
 		m := s.unsynced[0]
 		if m.Address == "" || m.probing || s.machines[m.Name] != m || s.synced(m) {
@@ -87,7 +87,7 @@
 // syncPause is how long showing the token waits where it went too fast.
 const syncPause = 50 * time.Millisecond
 
-func (s *Share) syncAgain() {
+func (s *Scheduler) syncAgain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.syncWaits = false; s.ctx.Err() == nil {
