--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -71,8 +71,8 @@
 	if err := c.http.DoDeadline(req, resp, time.Now().Add(timeout)); err != nil {
 		return fmt.Errorf("%w: %s %s: %w", ErrTrouble, method, target, err)
 	}
-	switch status := resp.StatusCode(); {
-	case status == 200:
+	switch status := resp.StatusCode(); status {
+	case 200:
 		if reply == nil {
 			return nil
 		}
@@ -80,7 +80,7 @@
 			return fmt.Errorf("%w: %s %s: %w", ErrTrouble, method, target, err)
 		}
 		return nil
-	case status == 503:
+	case 503:
 		var e wire.Error
 		if json.Unmarshal(resp.Body(), &e) == nil && e.Error == "no capacity" {
 			return ErrNoCapacity
--- a/internal/scheduler/rent.go
+++ b/internal/scheduler/rent.go
@@ -128,7 +128,7 @@
 		}
 		next := 0 // what does not take a task of the job takes none of its later ones
 		for range d.tasks {
-			for next < len(coming) && !(d.job.size.Within(coming[next].free) && placement.Allows(j, coming[next].place, placement.Spread{ByZone: zones})) {
+			for next < len(coming) && (!d.job.size.Within(coming[next].free) || !placement.Allows(j, coming[next].place, placement.Spread{ByZone: zones})) {
 				next++
 			}
 			if next == len(coming) {
