--- a/cmd/heronwick/chains.go
+++ b/cmd/heronwick/chains.go
@@ -36,16 +36,16 @@
 	inDanger := int64(0)
 	for i := range chains {
 		chain := &chains[i]
-		before := w.warned[chain.Last]
+		before := w.warned[chain.Sink]
 		if chain.InDanger {
 			inDanger++
-			if !before && w.owns(chain.Last) {
+			if !before && w.owns(chain.Sink) {
 				w.warn(chain)
 				before = true
 			}
 		}
 		if before {
-			warned[chain.Last] = true
+			warned[chain.Sink] = true
 		}
 	}
 	w.warned = warned
@@ -53,7 +53,7 @@
 	w.inDanger.Store(inDanger)
 }
 
-func (w *chainWatch) warn(chain *wire.Chain) {
+func (w *chainWatch) warn(chain *wire.DAG) {
 	w.endangered.Add(1)
 	var unfinished []string
 	for _, j := range chain.Jobs {
@@ -61,6 +61,6 @@
 			unfinished = append(unfinished, j.ID)
 		}
 	}
-	w.log.Warn("a chain of jobs is in danger of missing its deadline", "last", chain.Last, "left_s", *chain.LeftS,
+	w.log.Warn("a chain of jobs is in danger of missing its deadline", "last", chain.Sink, "left_s", *chain.LeftS,
 		"expected_s", chain.ExpectedS, "unfinished", unfinished)
 }
--- a/cmd/heronwick/controller.go
+++ b/cmd/heronwick/controller.go
@@ -128,7 +128,7 @@
 	c.front = server.New(server.Options{
 		Settings: settings, Jobs: c.catalog, Types: c.offers.Types, Checkin: c.checkin, Ready: c.ready,
 		Latency: func() time.Duration { return c.latency() }, Gauges: c.gauges(), Log: log,
-		Chains: func() []wire.Chain { return c.catalog.Chains(time.Now()) },
+		Chains: func() []wire.DAG { return c.catalog.Chains(time.Now()) },
 		Duties: c.dutyReport, HandOver: c.handOver, ClearDuty: c.clearDuty,
 	})
 	return c
@@ -320,7 +320,7 @@
 
 // checkin answers a worker's report if this controller may, and else says who
 // does.
-func (c *controller) checkin(r *wire.Report) (*wire.ReportReply, string) {
+func (c *controller) checkin(r *wire.Heartbeat) (*wire.HeartbeatReply, string) {
 	if s := c.share.Load(); s != nil {
 		if reply := s.Checkin(r); reply != nil {
 			return reply, ""
--- a/cmd/heronwick/dutiescommand.go
+++ b/cmd/heronwick/dutiescommand.go
@@ -61,15 +61,15 @@
 	for _, d := range duties.Duties {
 		holder := d.Holder
 		switch {
-		case d.Damaged:
+		case d.Corrupt:
 			holder = "(its record cannot be read)"
 		case holder == "":
 			holder = "(nobody)"
 		}
 		fmt.Printf("%-24s token %-10d %s\n", d.ID, d.Token, holder)
 	}
-	for _, c := range duties.Condemned {
-		fmt.Printf("condemned under token %d, %s: %s\n", c.Token, c.Why, strings.Join(c.Machines, " "))
+	for _, c := range duties.Returns {
+		fmt.Printf("condemned under token %d, %s: %s\n", c.Token, c.Reason, strings.Join(c.Machines, " "))
 	}
 	for _, r := range duties.Rentals {
 		fmt.Printf("renting under token %d: %s\n", r.Token, strings.Join(r.Requests, " "))
--- a/internal/duty/report.go
+++ b/internal/duty/report.go
@@ -10,13 +10,13 @@
 // Report tells an operator what this controller knows of the duties.
 func (k *Keeper) Report() wire.Duties {
 	report := wire.Duties{Node: k.opts.Node, Active: k.Active(), LeaseS: k.opts.Lease.Seconds(),
-		Duties: []wire.Duty{}, Condemned: []wire.CondemnedIntent{}, Rentals: []wire.RentalIntent{}, Events: []wire.DutyEvent{}, Counts: map[string]int{}}
+		Duties: []wire.Duty{}, Returns: []wire.ReturnIntent{}, Rentals: []wire.RentalIntent{}, Events: []wire.DutyEvent{}, Counts: map[string]int{}}
 	for id, h := range k.opts.Ledger.allHolders() {
-		report.Duties = append(report.Duties, wire.Duty{ID: id.String(), Holder: h.Node, Token: h.token, Damaged: h.damaged, Here: k.check(id, h.token) == nil})
+		report.Duties = append(report.Duties, wire.Duty{ID: id.String(), Holder: h.Node, Token: h.token, Corrupt: h.damaged, Leader: k.check(id, h.token) == nil})
 	}
 	slices.SortFunc(report.Duties, func(a, b wire.Duty) int { return strings.Compare(a.ID, b.ID) })
 	for _, open := range k.opts.Ledger.condemnations() {
-		report.Condemned = append(report.Condemned, wire.CondemnedIntent{Key: open.key, Token: open.Token, Why: open.Why, Machines: open.Machines})
+		report.Returns = append(report.Returns, wire.ReturnIntent{Key: open.key, Token: open.Token, Reason: open.Why, Machines: open.Machines})
 	}
 	for _, open := range k.opts.Ledger.rentals() {
 		intent := wire.RentalIntent{Key: open.key, Token: open.token}
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -98,7 +98,7 @@
 
 // Command sends commands and returns the worker's report after them. A 409
 // carries a report too: nothing was executed.
-func (c *Client) Command(ctx context.Context, address string, req *wire.CommandRequest) (*wire.Report, error) {
+func (c *Client) Command(ctx context.Context, address string, req *wire.CommandRequest) (*wire.Heartbeat, error) {
 	body, err := json.Marshal(req)
 	if err != nil {
 		return nil, fmt.Errorf("encoding commands: %w", err)
@@ -107,11 +107,11 @@
 }
 
 // Status asks a worker for its report.
-func (c *Client) Status(ctx context.Context, address string) (*wire.Report, error) {
+func (c *Client) Status(ctx context.Context, address string) (*wire.Heartbeat, error) {
 	return c.do(ctx, "GET", "http://"+address+wire.PathStatus, nil)
 }
 
-func (c *Client) do(ctx context.Context, method, url string, body []byte) (*wire.Report, error) {
+func (c *Client) do(ctx context.Context, method, url string, body []byte) (*wire.Heartbeat, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -134,7 +134,7 @@
 	if status := resp.StatusCode(); status != 200 && status != 409 {
 		return nil, fmt.Errorf("%s %s: status %d", method, url, status)
 	}
-	var report wire.Report
+	var report wire.Heartbeat
 	if err := json.Unmarshal(resp.Body(), &report); err != nil {
 		return nil, fmt.Errorf("%s %s: %w", method, url, err)
 	}
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -33,7 +33,7 @@
 	Sized   bool // Size and Team are known
 
 	State    wire.TaskState // "" until a report shows it
-	Why      wire.Why
+	Why      wire.ExitReason
 	Durable  bool      // its record is in the store: the start may be sent
 	Journal  string    // the journal that alone holds that record; "": none does
 	Paged    bool      // its machine's page holds it
@@ -175,20 +175,20 @@
 // a session whose lease has surely lapsed: it was under way for long. A worker
 // never shows a lower token than before: such a report is from before, maybe from
 // a former life of the machine, which had counted further (ran_twice).
-func (m *Machine) Apply(r *wire.Report, now time.Time) ([]Event, bool) {
-	if r.Token < m.Token || r.Session <= m.lapsed || r.Session < m.Session || r.Session == m.Session && r.Seq <= m.Seq {
+func (m *Machine) Apply(r *wire.Heartbeat, now time.Time) ([]Event, bool) {
+	if r.FencingToken < m.Token || r.Incarnation <= m.lapsed || r.Incarnation < m.Session || r.Incarnation == m.Session && r.Seq <= m.Seq {
 		return nil, false
 	}
 	var events []Event
-	if r.Session > m.Session {
+	if r.Incarnation > m.Session {
 		// The worker's lease ran out: it killed what it had.
-		events = m.lose(func(a *Attempt) bool { return a.session < r.Session })
+		events = m.lose(func(a *Attempt) bool { return a.session < r.Incarnation })
 	}
-	if r.Session > m.Session {
+	if r.Incarnation > m.Session {
 		m.SessionAt = now
 	}
-	m.Session, m.Seq = r.Session, r.Seq
-	m.Token = max(m.Token, r.Token)
+	m.Session, m.Seq = r.Incarnation, r.Seq
+	m.Token = max(m.Token, r.FencingToken)
 	m.Reported, m.LastReport = true, now
 	m.Address, m.TypeName, m.Zone, m.Spot = r.Address, r.Type, r.Zone, r.Spot
 	m.Notice = time.Time{}
@@ -204,7 +204,7 @@
 			if !ok {
 				continue
 			}
-			a = &Attempt{Key: key, Job: job, Index: index, Durable: true, session: r.Session, Placed: now, State: t.State, Why: t.Why, shownIn: m.reports}
+			a = &Attempt{Key: key, Job: job, Index: index, Durable: true, session: r.Incarnation, Placed: now, State: t.State, Why: t.Reason, shownIn: m.reports}
 			if t.State == wire.TaskRunning {
 				a.Running = now
 			}
@@ -216,7 +216,7 @@
 		if a.Exited() {
 			continue
 		}
-		a.State, a.Why = t.State, t.Why
+		a.State, a.Why = t.State, t.Reason
 		switch {
 		case t.State == wire.TaskExited:
 			events = append(events, Event{Exited, a})
@@ -314,7 +314,7 @@
 	if !a.Exited() || !a.Handled || a.direct > 0 || a.doubt > 0 && a.doubt >= m.Token {
 		return false
 	}
-	return a.Why == wire.WhyDone || a.startToken < m.Token
+	return a.Why == wire.ExitDone || a.startToken < m.Token
 }
 
 // commands lists what the worker should be told now: what makes room first.
@@ -375,7 +375,7 @@
 			a.startToken = max(a.startToken, token)
 		}
 	}
-	return &wire.CommandRequest{Token: token, Session: m.Session, Commands: commands}
+	return &wire.CommandRequest{FencingToken: token, Incarnation: m.Session, Commands: commands}
 }
 
 // DirectDone ends what Direct began. Without an answer the commands may still
@@ -388,7 +388,7 @@
 		}
 		a.direct--
 		if !answered {
-			a.doubt = max(a.doubt, req.Token)
+			a.doubt = max(a.doubt, req.FencingToken)
 		}
 	}
 }
@@ -405,7 +405,7 @@
 		if a.doubt >= token && (a.Stop && a.State == "" || a.Exited()) {
 			return true
 		}
-		if a.Exited() && a.Handled && a.Why != wire.WhyDone && a.startToken >= token {
+		if a.Exited() && a.Handled && a.Why != wire.ExitDone && a.startToken >= token {
 			leftovers++
 		}
 	}
--- a/internal/job/answers.go
+++ b/internal/job/answers.go
@@ -183,7 +183,7 @@
 // newRecord makes the record of a job that is about to be accepted. The error is
 // a *wire.FieldError if the job can never be.
 func (c *Catalog) newRecord(ctx context.Context, j wire.Job) (r *Record, value []byte, err error) {
-	if len(j.Needs) > 0 && !c.acceptsChains() {
+	if len(j.Dependencies) > 0 && !c.acceptsChains() {
 		return nil, nil, ErrChainsNotYet
 	}
 	if err := c.checkNeeds(ctx, &j); err != nil {
--- a/internal/job/catalog.go
+++ b/internal/job/catalog.go
@@ -347,7 +347,7 @@
 		return n
 	}
 	delete(c.unresolved, id)
-	for _, need := range r.Job.Needs {
+	for _, need := range r.Job.Dependencies {
 		if o := c.final[need]; o != nil && o.State == wire.JobCancelled {
 			n.ended = c.implyLocked(need, r)
 			return n
@@ -356,7 +356,7 @@
 	c.active[id] = r
 	n.added = r
 	n.changed = c.graph.add(r)
-	for _, need := range r.Job.Needs {
+	for _, need := range r.Job.Dependencies {
 		switch o := c.final[need]; {
 		case o != nil:
 			c.graph.done(need, time.UnixMilli(o.EndedMs))
--- a/internal/job/chains.go
+++ b/internal/job/chains.go
@@ -11,20 +11,20 @@
 
 // Chains tells of all chains that are live, those in danger first, then by
 // deadline.
-func (c *Catalog) Chains(now time.Time) []wire.Chain {
+func (c *Catalog) Chains(now time.Time) []wire.DAG {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var chains []wire.Chain
+	var chains []wire.DAG
 	for _, last := range c.graph.lasts() {
 		chains = append(chains, c.chainLocked(last, now))
 	}
-	slices.SortFunc(chains, func(a, b wire.Chain) int {
-		return cmp.Or(compareDanger(a, b), compareDeadlines(a.LeftS, b.LeftS), cmp.Compare(a.Last, b.Last))
+	slices.SortFunc(chains, func(a, b wire.DAG) int {
+		return cmp.Or(compareDanger(a, b), compareDeadlines(a.LeftS, b.LeftS), cmp.Compare(a.Sink, b.Sink))
 	})
 	return chains
 }
 
-func compareDanger(a, b wire.Chain) int {
+func compareDanger(a, b wire.DAG) int {
 	switch {
 	case a.InDanger == b.InDanger:
 		return 0
@@ -48,9 +48,9 @@
 }
 
 // chainLocked tells of the chain that ends with a job.
-func (c *Catalog) chainLocked(last *vertex, now time.Time) wire.Chain {
+func (c *Catalog) chainLocked(last *vertex, now time.Time) wire.DAG {
 	id := last.record.Job.ID
-	chain := wire.Chain{Last: id}
+	chain := wire.DAG{Sink: id}
 	expected := map[string]time.Time{} // when each should be done
 	for _, v := range c.graph.upTo(last) {
 		progress := c.progress[v.record.Job.ID]
@@ -91,9 +91,9 @@
 	return start.Add(v.expected())
 }
 
-func (v *vertex) chainJob(p Progress) wire.ChainJob {
+func (v *vertex) chainJob(p Progress) wire.DAGJob {
 	j := &v.record.Job
-	shown := wire.ChainJob{ID: j.ID, Class: j.Class, State: p.state(), Tasks: j.Tasks, Done: p.Done, Running: p.Running}
+	shown := wire.DAGJob{ID: j.ID, Class: j.Class, State: p.state(), Tasks: j.Tasks, Done: p.Done, Running: p.Running}
 	if v.over {
 		shown.State, shown.Done, shown.Running = wire.JobDone, j.Tasks, 0
 	}
--- a/internal/job/dependencies.go
+++ b/internal/job/dependencies.go
@@ -134,7 +134,7 @@
 // checkNeeds tells whether all jobs that a job names were accepted: that is so for
 // ever. The error is a *wire.FieldError if one of them never was.
 func (c *Catalog) checkNeeds(ctx context.Context, j *wire.Job) error {
-	for _, id := range j.Needs {
+	for _, id := range j.Dependencies {
 		if err := c.checkNeed(ctx, j, id); err != nil {
 			return err
 		}
@@ -143,7 +143,7 @@
 }
 
 func (c *Catalog) checkNeed(ctx context.Context, j *wire.Job, id string) error {
-	never := &wire.FieldError{Field: wire.FieldNeeds, Reason: id + " never accepted"}
+	never := &wire.FieldError{Field: wire.FieldDependencies, Reason: id + " never accepted"}
 	if id == j.ID || !wire.ValidJobID(id) {
 		return never
 	}
@@ -153,7 +153,7 @@
 		case final:
 			return nil
 		case r != nil && r.Job.Kind == wire.KindService:
-			return &wire.FieldError{Field: wire.FieldNeeds, Reason: id + " is a service, which is never done"}
+			return &wire.FieldError{Field: wire.FieldDependencies, Reason: id + " is a service, which is never done"}
 		case r != nil:
 			return nil
 		}
--- a/internal/job/graph.go
+++ b/internal/job/graph.go
@@ -47,7 +47,7 @@
 func newVertex(r *Record) *vertex {
 	v := &vertex{record: r, unfinished: map[string]bool{}, dependents: map[string]*vertex{}}
 	v.order = v.record.order()
-	for _, id := range r.Job.Needs {
+	for _, id := range r.Job.Dependencies {
 		v.unfinished[id] = true
 	}
 	return v
@@ -104,7 +104,7 @@
 		v.order.take(d.order.Rank, d.startBy())
 	}
 	delete(g.waiting, id)
-	for _, need := range r.Job.Needs {
+	for _, need := range r.Job.Dependencies {
 		if n := g.vertices[need]; n != nil {
 			n.dependents[id] = v
 			continue
@@ -123,7 +123,7 @@
 	for len(work) > 0 {
 		v := work[0]
 		work = work[1:]
-		for _, need := range v.record.Job.Needs {
+		for _, need := range v.record.Job.Dependencies {
 			n := g.vertices[need]
 			if n == nil || n.over || !n.order.take(v.order.Rank, v.startBy()) {
 				continue
@@ -143,7 +143,7 @@
 	if v != nil && !v.over {
 		v.over = true
 		g.over++
-		changed = g.relax(v.record.Job.Needs)
+		changed = g.relax(v.record.Job.Dependencies)
 		if g.over > maxOver {
 			g.detach(v)
 		}
@@ -178,7 +178,7 @@
 		v.over = true
 		g.over++
 	}
-	changed = g.relax(v.record.Job.Needs)
+	changed = g.relax(v.record.Job.Dependencies)
 	clear(v.dependents)
 	g.prune([]string{id})
 	return changed
@@ -207,7 +207,7 @@
 			continue
 		}
 		changed = append(changed, id)
-		for _, need := range v.record.Job.Needs {
+		for _, need := range v.record.Job.Dependencies {
 			if !queued[need] {
 				queued[need] = true
 				work = append(work, need)
@@ -235,7 +235,7 @@
 // unlink ends a job's needing others, and returns those.
 func (g *graph) unlink(v *vertex) (needs []string) {
 	id := v.record.Job.ID
-	for _, need := range v.record.Job.Needs {
+	for _, need := range v.record.Job.Dependencies {
 		if n := g.vertices[need]; n != nil {
 			delete(n.dependents, id)
 		}
@@ -244,7 +244,7 @@
 			delete(g.waiting, need)
 		}
 	}
-	return v.record.Job.Needs
+	return v.record.Job.Dependencies
 }
 
 // detach forgets what came before a job that is done.
@@ -298,7 +298,7 @@
 // lasts returns the active jobs that need others and that no active job needs.
 func (g *graph) lasts() (lasts []*vertex) {
 	for _, v := range g.vertices {
-		if !v.over && len(v.record.Job.Needs) > 0 && !v.needed() {
+		if !v.over && len(v.record.Job.Dependencies) > 0 && !v.needed() {
 			lasts = append(lasts, v)
 		}
 	}
@@ -322,7 +322,7 @@
 	seen := map[*vertex]bool{last: true}
 	all := []*vertex{last}
 	for work := []*vertex{last}; len(work) > 0; work = work[1:] {
-		for _, need := range work[0].record.Job.Needs {
+		for _, need := range work[0].record.Job.Dependencies {
 			if n := g.vertices[need]; n != nil && !seen[n] {
 				seen[n] = true
 				all = append(all, n)
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -94,16 +94,16 @@
 func (s *Scheduler) exitedLocked(m *machine, a *fleet.Attempt) {
 	now := time.Now()
 	s.log.Debug("exited", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "why", a.Why, "since_placed", now.Sub(a.Placed))
-	if a.Why == wire.WhyError {
+	if a.Why == wire.ExitError {
 		s.failedLocked(m, s.jobOf(a.Job), a, now)
 	}
-	if a.Why == wire.WhyDone {
+	if a.Why == wire.ExitDone {
 		clear(m.failedJobs)
 		if js := s.jobOf(a.Job); js != nil {
 			js.succeeded = true
 		}
 	}
-	if a.Why == wire.WhyNoRoom || a.Why == wire.WhyBusy {
+	if a.Why == wire.ExitNoCapacity || a.Why == wire.ExitBusy {
 		m.cooling = now.Add(time.Second)
 	}
 	s.endedLocked(a, now)
@@ -119,7 +119,7 @@
 		s.uncountLocked(a)
 		return
 	}
-	if a.Why == wire.WhyDone && !a.Service {
+	if a.Why == wire.ExitDone && !a.Service {
 		js.succeeded = true
 		chunk := js.done.Add(a.Index)
 		js.dirty[chunk] = true
@@ -131,7 +131,7 @@
 	}
 	a.Handled = true
 	switch a.Why {
-	case wire.WhyStopped, wire.WhyDone, wire.WhyError, wire.WhyPeers, wire.WhyAlone:
+	case wire.ExitStopped, wire.ExitDone, wire.ExitError, wire.ExitPeerLost, wire.ExitGangIncomplete:
 	default:
 		s.log.Info("start refused", "task", a.Task, "attempt", a.Attempt, "why", a.Why)
 		js.notBefore = now.Add(500 * time.Millisecond)
--- a/internal/scheduler/division.go
+++ b/internal/scheduler/division.go
@@ -169,7 +169,7 @@
 // joinLocked decides about a worker whose machine this share does not have:
 // one just given to it, or one that nobody owns. coming tells that its machine
 // is this share's and will be taken once the records are read.
-func (s *Scheduler) joinLocked(r *wire.Report, now time.Time) (m *machine, coming bool) {
+func (s *Scheduler) joinLocked(r *wire.Heartbeat, now time.Time) (m *machine, coming bool) {
 	if s.isGoneLocked(r.Machine) {
 		return nil, false // sent before its machine was returned
 	}
@@ -184,6 +184,6 @@
 		return nil, true
 	}
 	// A machine that the records do not name never had anything placed on it.
-	s.log.Info("machine joins", "machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "session", r.Session)
+	s.log.Info("machine joins", "machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "session", r.Incarnation)
 	return s.addMachineLocked(fleet.NewMachine(r.Machine), now), false
 }
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -417,7 +417,7 @@
 			}
 			return
 		}
-		if report.Machine == m.Name && (report.Session < session || report.Session == session && report.Seq < seq) {
+		if report.Machine == m.Name && (report.Incarnation < session || report.Incarnation == session && report.Seq < seq) {
 			// It answers with less than it has told before: another life of
 			// the machine, without the tasks of the one before. Commands to
 			// that one may still come to this one, and what they start lasts
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -121,7 +121,7 @@
 	js := s.newJob(r)
 	s.jobs[j.ID] = js
 	s.log.Debug("job queued", "job", j.ID, "class", j.Class, "team", j.Team, "tasks", j.Tasks, "cpus", j.CPUs, "image", j.Image, "estimate_s", j.EstimateS,
-		"needs", j.Needs, "ready", js.ready, "rank", js.rank)
+		"needs", j.Dependencies, "ready", js.ready, "rank", js.rank)
 	return js
 }
 
--- a/internal/scheduler/lend.go
+++ b/internal/scheduler/lend.go
@@ -493,7 +493,7 @@
 			continue
 		}
 		s.moveZoneLocked(f, h.Zone)
-		f.State, f.Why = wire.TaskState(h.State), wire.Why(h.Why)
+		f.State, f.Why = wire.TaskState(h.State), wire.ExitReason(h.Why)
 		if f.Exited() {
 			s.endedLocked(f.Attempt, now)
 		}
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -27,7 +27,7 @@
 
 // Checkin takes a worker's report. It returns nil if this share has no right
 // to answer it.
-func (s *Scheduler) Checkin(r *wire.Report) *wire.ReportReply {
+func (s *Scheduler) Checkin(r *wire.Heartbeat) *wire.HeartbeatReply {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,7 +42,7 @@
 	if m == nil {
 		m, coming = s.joinLocked(r, now)
 	}
-	reply := &wire.ReportReply{Token: token, Commands: []wire.Command{}}
+	reply := &wire.HeartbeatReply{FencingToken: token, Commands: []wire.Command{}}
 	if m == nil {
 		if !coming || s.doubtfulLocked(r, now) {
 			// Answering a machine that is another's would renew a lease that
@@ -76,8 +76,8 @@
 // the answer to a later probe has overtaken is no news, but it did come: a worker of
 // which none counts would be taken for one that reaches no controller. A copy of one
 // that has come before does not count.
-func (m *machine) noteOwnReport(r *wire.Report, fresh bool, now time.Time) {
-	if fresh || r.Session == m.Session && r.Seq > m.lastOwnReportSeq {
+func (m *machine) noteOwnReport(r *wire.Heartbeat, fresh bool, now time.Time) {
+	if fresh || r.Incarnation == m.Session && r.Seq > m.lastOwnReportSeq {
 		m.lastOwnReport, m.lastOwnReportSeq = now, r.Seq
 	}
 }
@@ -90,9 +90,9 @@
 // long that its lease must lapse. Such a job may be over: cancelled before this
 // controller read the jobs, while the state service, which would tell, is out
 // for longer than the tasks may stay.
-func (s *Scheduler) doubtfulLocked(r *wire.Report, now time.Time) bool {
+func (s *Scheduler) doubtfulLocked(r *wire.Heartbeat, now time.Time) bool {
 	m := s.machines[r.Machine]
-	unknown := slices.ContainsFunc(r.Tasks, func(t wire.TaskReport) bool {
+	unknown := slices.ContainsFunc(r.Tasks, func(t wire.TaskStatus) bool {
 		id, _, ok := wire.SplitTaskID(t.Task)
 		if !ok || t.State == wire.TaskExited || s.jobOf(id) != nil {
 			return false
@@ -118,7 +118,7 @@
 
 // stopsOfOverLocked stops, of the tasks that a report shows, those whose jobs
 // are over: their machine's records may not be readable for long.
-func (s *Scheduler) stopsOfOverLocked(r *wire.Report) []wire.Command {
+func (s *Scheduler) stopsOfOverLocked(r *wire.Heartbeat) []wire.Command {
 	stops := []wire.Command{}
 	for _, t := range r.Tasks {
 		id, _, ok := wire.SplitTaskID(t.Task)
@@ -131,7 +131,7 @@
 }
 
 // applyLocked takes a report or the answer to a direct command.
-func (s *Scheduler) applyLocked(m *machine, r *wire.Report) bool {
+func (s *Scheduler) applyLocked(m *machine, r *wire.Heartbeat) bool {
 	if s.machines[m.Name] != m || r.Machine != m.Name {
 		return false
 	}
@@ -217,7 +217,7 @@
 
 // command sends commands straight to a worker, for as long
 // as commandTimeout allows.
-func (s *Scheduler) command(ctx context.Context, address string, req *wire.CommandRequest) (*wire.Report, error) {
+func (s *Scheduler) command(ctx context.Context, address string, req *wire.CommandRequest) (*wire.Heartbeat, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	return s.opts.Workers.Command(ctx, address, req)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -49,8 +49,8 @@
 
 // Workers sends commands and status requests straight to workers, by address.
 type Workers interface {
-	Command(ctx context.Context, address string, req *wire.CommandRequest) (*wire.Report, error)
-	Status(ctx context.Context, address string) (*wire.Report, error)
+	Command(ctx context.Context, address string, req *wire.CommandRequest) (*wire.Heartbeat, error)
+	Status(ctx context.Context, address string) (*wire.Heartbeat, error)
 }
 
 // Cloud tells which machines there are. What changes that goes through duty.Actions.
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -35,12 +35,12 @@
 	Types    func() []wire.MachineType
 	// Checkin answers a report, or returns nil and to whom the worker should
 	// report, if that is known.
-	Checkin func(r *wire.Report) (reply *wire.ReportReply, redirect string)
+	Checkin func(r *wire.Heartbeat) (reply *wire.HeartbeatReply, redirect string)
 	Ready   func() bool
 	// Latency is how long goroutines of this process lately waited for the processor.
 	Latency func() time.Duration
 	// Chains tells operators of the chains of jobs that are live.
-	Chains func() []wire.Chain
+	Chains func() []wire.DAG
 	// Duties tells operators who holds which single duty and what is open.
 	Duties func() wire.Duties
 	// HandOver gives up a duty that this controller holds, and ClearDuty removes a duty's
@@ -140,7 +140,7 @@
 // route answers one request and names its kind.
 func (s *Server) route(ctx *fasthttp.RequestCtx, path, method string) (kind string) {
 	switch {
-	case path == wire.PathReport:
+	case path == wire.PathHeartbeat:
 		if s.allow(ctx, method, "POST") {
 			s.report(ctx)
 		}
@@ -150,10 +150,10 @@
 			s.metrics.serve(ctx)
 		}
 		return "metrics"
-	case path == wire.PathChains:
+	case path == wire.PathDAGs:
 		if s.allow(ctx, method, "GET") {
 			s.answer(ctx, 200, struct {
-				Chains []wire.Chain `json:"chains"`
+				Chains []wire.DAG `json:"chains"`
 			}{s.opts.Chains()})
 		}
 		return "chains"
@@ -364,8 +364,8 @@
 }
 
 func (s *Server) report(ctx *fasthttp.RequestCtx) {
-	var r wire.Report
-	if err := json.Unmarshal(ctx.PostBody(), &r); err != nil || r.Machine == "" || r.Session == 0 {
+	var r wire.Heartbeat
+	if err := json.Unmarshal(ctx.PostBody(), &r); err != nil || r.Machine == "" || r.Incarnation == 0 {
 		s.refuse(ctx, 400, &wire.FieldError{Reason: "not a report"})
 		return
 	}
@@ -374,7 +374,7 @@
 	case reply != nil:
 		s.answer(ctx, 200, reply)
 	case redirect != "":
-		s.answer(ctx, 421, wire.Redirect{ReportTo: redirect})
+		s.answer(ctx, 421, wire.NotLeaderReply{Leader: redirect})
 	default:
 		s.unavailable(ctx, errors.New("no right to answer workers"))
 	}
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -28,7 +28,7 @@
 	Fails func(job, machine string) bool
 	// Report delivers a report to a controller: its status, the reply (200)
 	// or the node to report to (421).
-	Report func(node string, r *wire.Report) (status int, reply *wire.ReportReply, redirect string)
+	Report func(node string, r *wire.Heartbeat) (status int, reply *wire.HeartbeatReply, redirect string)
 	Nodes  []string
 	// Checker sees what runs; Start makes one if there is none.
 	Checker *Checker
@@ -148,7 +148,7 @@
 }
 
 // Command sends commands to a worker.
-func (l *Line) Command(ctx context.Context, address string, req *wire.CommandRequest) (*wire.Report, error) {
+func (l *Line) Command(ctx context.Context, address string, req *wire.CommandRequest) (*wire.Heartbeat, error) {
 	l.fleet.Checker.Commanded(req.Commands)
 	if l.cut(ctx, address) {
 		return nil, errSilent
@@ -157,7 +157,7 @@
 }
 
 // Status asks a worker for its report.
-func (l *Line) Status(ctx context.Context, address string) (*wire.Report, error) {
+func (l *Line) Status(ctx context.Context, address string) (*wire.Heartbeat, error) {
 	if l.cut(ctx, address) {
 		return nil, errSilent
 	}
@@ -198,7 +198,7 @@
 
 // command delivers commands. On a slow link they arrive also when the caller has
 // given up, as do those that are held back.
-func (f *Fleet) command(ctx context.Context, address string, req *wire.CommandRequest) (*wire.Report, error) {
+func (f *Fleet) command(ctx context.Context, address string, req *wire.CommandRequest) (*wire.Heartbeat, error) {
 	delay := f.delay(address)
 	time.Sleep(time.Millisecond + delay)
 	defer wait.For(ctx, delay)
@@ -218,7 +218,7 @@
 	return w.reportLocked(), nil
 }
 
-func (f *Fleet) status(ctx context.Context, address string) (*wire.Report, error) {
+func (f *Fleet) status(ctx context.Context, address string) (*wire.Heartbeat, error) {
 	wait.For(ctx, 2*f.delay(address))
 	f.mu.Lock()
 	w := f.workers[address]
--- a/internal/standin/troubles.go
+++ b/internal/standin/troubles.go
@@ -86,7 +86,7 @@
 		return
 	}
 	w.holdReports = on
-	var late []*wire.Report
+	var late []*wire.Heartbeat
 	if !on {
 		late, w.lateReports = w.lateReports, nil
 	}
--- a/wire/operator.go
+++ b/wire/operator.go
@@ -2,84 +2,88 @@
 
 import "time"
 
-// PathChains is where operators see the chains of jobs that are live.
-const PathChains = "/chains"
+// PathDAGs is where operators list the live dependency DAGs of jobs.
+const PathDAGs = "/chains"
 
-// Chain is a chain of jobs that is live: its last job, which no other needs, and
-// all before it.
-type Chain struct {
-	Last string `json:"last"`
-	// Deadline is by when the last job has to be done; nil: it has no deadline.
+// DAG is a live dependency DAG of jobs: its sink, the job that no other job
+// depends on, and all the sink's transitive dependencies.
+type DAG struct {
+	Sink string `json:"last"`
+	// Deadline is when the sink has to be done; nil when it has no deadline.
 	Deadline *time.Time `json:"deadline,omitempty"`
-	// LeftS is how long it is until then, less than 0 when that is over.
+	// LeftS is the time left until the deadline in seconds, negative once it
+	// has passed; nil when there is no deadline.
 	LeftS *float64 `json:"left_s,omitempty"`
-	// ExpectedS is after what time the last job should be done, by estimates.
+	// ExpectedS is the estimated time in seconds until the sink is done.
 	ExpectedS float64 `json:"expected_s"`
-	// InDanger: by estimates the last job misses its deadline.
+	// InDanger reports that, by the estimates, the sink misses its deadline.
 	InDanger bool `json:"in_danger"`
-	// Jobs are all jobs of the chain, in the order in which they were accepted.
-	Jobs []ChainJob `json:"jobs"`
+	// Jobs are all jobs of the DAG, in the order in which they were accepted.
+	Jobs []DAGJob `json:"jobs"`
 }
 
-// ChainJob is a job of a chain.
-type ChainJob struct {
+// DAGJob is one job of a DAG with its task counts.
+type DAGJob struct {
 	ID      string   `json:"uid"`
 	Class   string   `json:"flight"`
 	State   JobState `json:"stance"`
 	Tasks   int      `json:"feathers"`
 	Done    int      `json:"done"`
 	Running int      `json:"running"`
-	// WaitsFor are the jobs that it needs and that are not done.
+	// WaitsFor are the job's dependencies that are not done yet.
 	WaitsFor []string `json:"waits_for,omitempty"`
 }
 
-// Paths of the single duties.
+// Paths of the operator interface for single duties.
 const (
 	PathDuties   = "/duties"
 	PathHandOver = "/duties/handover"
 	PathClear    = "/duties/clear"
 )
 
-// Duties is what a controller knows of the single duties and their open intents.
+// Duties is a controller's view of the single duties and of the intents
+// that are still open.
 type Duties struct {
 	Node string `json:"node"`
-	// Active: actions are recorded before they are sent.
-	Active    bool              `json:"active"`
-	LeaseS    float64           `json:"lease_s"`
-	Duties    []Duty            `json:"duties"`
-	Condemned []CondemnedIntent `json:"condemned"`
-	Rentals   []RentalIntent    `json:"rentals"`
-	Events    []DutyEvent       `json:"events"` // of this controller, the oldest first
-	Counts    map[string]int    `json:"counts"` // of all its events, by kind
+	// Active reports that actions are recorded as intents before they are sent.
+	Active  bool           `json:"active"`
+	LeaseS  float64        `json:"lease_s"`
+	Duties  []Duty         `json:"duties"`
+	Returns []ReturnIntent `json:"condemned"`
+	Rentals []RentalIntent `json:"rentals"`
+	Events  []DutyEvent    `json:"events"` // of this controller, the oldest first
+	Counts  map[string]int `json:"counts"` // of all its events, by kind
 }
 
-// Duty is one duty and who holds it.
+// Duty is one single duty, its holder and its fencing token.
 type Duty struct {
 	ID     string `json:"duty"`
 	Holder string `json:"holder"` // "": nobody
 	Token  uint64 `json:"token"`
-	// Here: this controller may act for it now.
-	Here bool `json:"here"`
-	// Damaged: its record cannot be read, so nobody takes it.
-	Damaged bool `json:"damaged,omitempty"`
+	// Leader reports that this controller holds the duty and may act for it now.
+	Leader bool `json:"here"`
+	// Corrupt reports that the duty's record cannot be decoded, so no
+	// controller takes it.
+	Corrupt bool `json:"damaged,omitempty"`
 }
 
-// CondemnedIntent is an intent to return machines that is not closed.
-type CondemnedIntent struct {
+// ReturnIntent is an open intent to return machines to the cloud.
+type ReturnIntent struct {
 	Key      string   `json:"key"`
 	Token    uint64   `json:"token"`
-	Why      string   `json:"why"`
+	Reason   string   `json:"why"`
 	Machines []string `json:"machines"`
 }
 
-// RentalIntent is an intent to rent that is not closed.
+// RentalIntent is an open intent to rent machines from the cloud.
 type RentalIntent struct {
 	Key      string   `json:"key"`
 	Token    uint64   `json:"token"`
 	Requests []string `json:"requests"`
 }
 
-// DutyEvent is something that happened to a duty or an intent.
+// DutyEvent records a change of a duty or an intent; TookS is its duration
+// in seconds.
 type DutyEvent struct {
 	At    time.Time `json:"at"`
 	Kind  string    `json:"kind"`
--- a/wire/user.go
+++ b/wire/user.go
@@ -19,9 +19,9 @@
 
 // Fields that refusals outside this package name.
 const (
-	FieldTeam  = "roost"
-	FieldTasks = "feathers"
-	FieldNeeds = "follows"
+	FieldTeam         = "roost"
+	FieldTasks        = "feathers"
+	FieldDependencies = "follows"
 )
 
 // MaxBody is the largest request body that any interface accepts.
@@ -103,9 +103,9 @@
 	CheckpointS float64  `json:"molt_s"`
 	SaveS       float64  `json:"preen_s"`
 	DeadlineS   *float64 `json:"dusk_s,omitempty"`
-	// Needs are the jobs that have to be done before any task of this one
-	// starts, each named once.
-	Needs []string `json:"follows,omitempty"`
+	// Dependencies are the jobs of the DAG that have to be done before any
+	// task of this one starts, each named once.
+	Dependencies []string `json:"follows,omitempty"`
 }
 
 // JobStatus answers a submission, a poll or a cancellation.
@@ -321,16 +321,16 @@
 		deadline := f.parseAmount("dusk_s", raw)
 		j.DeadlineS = &deadline
 	}
-	j.Needs = f.needs(FieldNeeds)
+	j.Dependencies = f.dependencies(FieldDependencies)
 	if f.err != nil {
 		return j, f.err
 	}
 	return j, nil
 }
 
-// needs reads a list of job ids that may be missing or empty; one that is named
-// again counts once.
-func (f *fields) needs(name string) []string {
+// dependencies reads a list of job ids that may be missing or empty; an id
+// named twice counts once.
+func (f *fields) dependencies(name string) []string {
 	raw, ok := f.value(name)
 	if !ok {
 		return nil
@@ -340,7 +340,7 @@
 		f.fail(name, "must be a list of job ids")
 		return nil
 	}
-	var needs []string
+	var dependencies []string
 	seen := map[string]bool{}
 	for _, id := range ids {
 		if id == nil {
@@ -349,8 +349,8 @@
 		}
 		if !seen[*id] {
 			seen[*id] = true
-			needs = append(needs, *id)
+			dependencies = append(dependencies, *id)
 		}
 	}
-	return needs
+	return dependencies
 }
--- a/wire/worker.go
+++ b/wire/worker.go
@@ -1,10 +1,11 @@
 package wire
 
-// Paths between workers and controllers.
+// Paths between workers and controllers: heartbeats, direct commands and
+// worker status.
 const (
-	PathReport   = "/checkin"
-	PathCommands = "/orders"
-	PathStatus   = "/show"
+	PathHeartbeat = "/checkin"
+	PathCommands  = "/orders"
+	PathStatus    = "/show"
 )
 
 // MaxCommands keeps a line to a worker below 64 KiB.
@@ -22,43 +23,44 @@
 	TaskExited   TaskState = "ended"
 )
 
-// Why says how a task exited.
-type Why string
+// ExitReason says why a task exited.
+type ExitReason string
 
-// The ways in which a task exits.
+// The exit reasons.
 const (
-	WhyDone    Why = "done"
-	WhyStopped Why = "stopped"
-	WhyError   Why = "error"
-	WhyNoRoom  Why = "no_room"
-	WhyBusy    Why = "busy"
-	WhyUnknown Why = "unknown"
-	WhyPeers   Why = "peers" // a gang's: a peer has gone
-	WhyAlone   Why = "alone" // a gang's: its peers did not come
+	ExitDone           ExitReason = "done"
+	ExitStopped        ExitReason = "stopped"
+	ExitError          ExitReason = "error"
+	ExitNoCapacity     ExitReason = "no_room"
+	ExitBusy           ExitReason = "busy"
+	ExitUnknown        ExitReason = "unknown"
+	ExitPeerLost       ExitReason = "peers" // a gang's: a peer has gone
+	ExitGangIncomplete ExitReason = "alone" // a gang's: its peers did not come
 )
 
-// TaskReport is one task in a worker's report.
-type TaskReport struct {
-	Task    string    `json:"feather"`
-	Attempt uint64    `json:"hop"`
-	State   TaskState `json:"stance"`
-	Why     Why       `json:"cause,omitempty"`
-	Saved   bool      `json:"kept,omitempty"`
+// TaskStatus is the status of one task in a worker's heartbeat.
+type TaskStatus struct {
+	Task         string     `json:"feather"`
+	Attempt      uint64     `json:"hop"`
+	State        TaskState  `json:"stance"`
+	Reason       ExitReason `json:"cause,omitempty"`
+	Checkpointed bool       `json:"kept,omitempty"`
 }
 
-// Report is what a worker tells of itself. The message with the larger
-// (Session, Seq) is the newer one.
-type Report struct {
-	Machine string       `json:"perch"`
-	Address string       `json:"address"`
-	Type    string       `json:"breed"`
-	Zone    string       `json:"marsh"`
-	Spot    bool         `json:"drift"`
-	Session uint64       `json:"wading"`
-	Seq     uint64       `json:"call"`
-	Token   uint64       `json:"crest"`
-	NoticeS *float64     `json:"flush_s"`
-	Tasks   []TaskReport `json:"feathers"`
+// Heartbeat is a worker's periodic report of its machine and tasks. Of two
+// heartbeats the one with the larger (Incarnation, Seq) is the newer one.
+// NoticeS is the spot preemption notice in seconds, nil when none was given.
+type Heartbeat struct {
+	Machine      string       `json:"perch"`
+	Address      string       `json:"address"`
+	Type         string       `json:"breed"`
+	Zone         string       `json:"marsh"`
+	Spot         bool         `json:"drift"`
+	Incarnation  uint64       `json:"wading"`
+	Seq          uint64       `json:"call"`
+	FencingToken uint64       `json:"crest"`
+	NoticeS      *float64     `json:"flush_s"`
+	Tasks        []TaskStatus `json:"feathers"`
 }
 
 // Op is what a command asks of a worker.
@@ -79,20 +81,22 @@
 	GraceS  *float64 `json:"settle_s,omitempty"`
 }
 
-// ReportReply answers a report with 200.
-type ReportReply struct {
-	Token    uint64    `json:"crest"`
-	Commands []Command `json:"signals"`
+// HeartbeatReply is the leader's answer to a heartbeat (HTTP 200): its
+// fencing token and the commands for the worker.
+type HeartbeatReply struct {
+	FencingToken uint64    `json:"crest"`
+	Commands     []Command `json:"signals"`
 }
 
-// Redirect answers a report with 421 and names the controller to report to.
-type Redirect struct {
-	ReportTo string `json:"heronry,omitempty"`
+// NotLeaderReply answers a heartbeat sent to a controller that is not the
+// leader (HTTP 421) and names the leader, when known.
+type NotLeaderReply struct {
+	Leader string `json:"heronry,omitempty"`
 }
 
 // CommandRequest carries commands straight to a worker.
 type CommandRequest struct {
-	Token    uint64    `json:"crest"`
-	Session  uint64    `json:"wading"`
-	Commands []Command `json:"signals"`
+	FencingToken uint64    `json:"crest"`
+	Incarnation  uint64    `json:"wading"`
+	Commands     []Command `json:"signals"`
 }
