--- a/cmd/heronwick/controller.go
+++ b/cmd/heronwick/controller.go
@@ -326,7 +326,7 @@
 			return reply, ""
 		}
 	}
-	home, _ := c.members.Home(r.Machine)
+	home, _ := c.members.HeartbeatTarget(r.Machine)
 	if home == c.settings.Node {
 		return nil, ""
 	}
--- a/internal/cluster/authority.go
+++ b/internal/cluster/authority.go
@@ -62,17 +62,17 @@
 	since uint64
 }
 
-// Permit tells whether the share of this membership may answer workers' reports and
+// FencingToken tells whether the share of this membership may answer workers' reports and
 // command them now, and under which token: both as of the same moment.
-func (m *Membership) Permit() (token uint64, ok bool) {
+func (m *Membership) FencingToken() (token uint64, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.epoch.Token, m.permittedLocked() && m.epoch.Members[m.opts.Node].Since == m.since
 }
 
-// Fenced returns since when surely no controller has answered a worker under
+// FencedSince returns since when surely no controller has answered a worker under
 // an epoch older than token, if that is proven. See docs/design.md, "Fencing".
-func (c *Cluster) Fenced(token uint64) (time.Time, bool) {
+func (c *Cluster) FencedSince(token uint64) (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.noteFenceLocked()
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -174,9 +174,9 @@
 	return g.Wait()
 }
 
-// Division returns the epoch, and the condition that fences what is decided
+// CurrentEpoch returns the epoch, and the condition that fences what is decided
 // under it.
-func (c *Cluster) Division() (Epoch, wire.Condition) {
+func (c *Cluster) CurrentEpoch() (Epoch, wire.Condition) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.epoch, wire.Condition{Key: epochKey, Version: c.version}
@@ -209,10 +209,10 @@
 	return c.known && c.epoch.Members[c.opts.Node].Incarnation == c.incarnation
 }
 
-// Home returns the node to which a worker should report: its machine's owner,
+// HeartbeatTarget returns the node to which a worker should report: its machine's owner,
 // else the leader, or "" if that one is not known to be alive. owned tells
 // whether its machine has an owner that is a member.
-func (c *Cluster) Home(machine string) (node string, owned bool) {
+func (c *Cluster) HeartbeatTarget(machine string) (node string, owned bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.known {
--- a/internal/cluster/division.go
+++ b/internal/cluster/division.go
@@ -175,8 +175,8 @@
 	Overloaded bool // it was short of processor time lately
 }
 
-// Loads returns the loads of the other members that were heard from lately.
-func (c *Cluster) Loads() map[string]Load {
+// PeerLoads returns the loads of the other members that were heard from lately.
+func (c *Cluster) PeerLoads() map[string]Load {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	loads := map[string]Load{}
@@ -188,8 +188,8 @@
 	return loads
 }
 
-// Wants tells what finds no room in the other members' shares.
-func (c *Cluster) Wants() []*peerpb.Want {
+// UnplacedWants tells what finds no room in the other members' shares.
+func (c *Cluster) UnplacedWants() []*peerpb.Want {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var all []*peerpb.Want
--- a/internal/cluster/election.go
+++ b/internal/cluster/election.go
@@ -247,10 +247,10 @@
 	c.poke()
 }
 
-// Raise raises the token and changes nothing else. Whatever
+// AdvanceEpoch raises the token and changes nothing else. Whatever
 // was sent to workers under the old token is void once they have seen the
 // new one.
-func (c *Cluster) Raise(ctx context.Context) error {
+func (c *Cluster) AdvanceEpoch(ctx context.Context) error {
 	c.mu.Lock()
 	epoch, version, member := c.epoch, c.version, c.memberLocked()
 	c.mu.Unlock()
--- a/internal/cluster/owners.go
+++ b/internal/cluster/owners.go
@@ -92,10 +92,10 @@
 
 func (c *Cluster) validLocked(o Owner) bool { return o.memberIn(&c.epoch) }
 
-// Owners returns the machines that this controller owns by name, and the names
+// OwnedMachines returns the machines that this controller owns by name, and the names
 // of those whose owner is no member. fresh is false while a write of an older
 // epoch may not have been seen yet.
-func (c *Cluster) Owners() (mine map[string]Owner, orphans []string, fresh bool) {
+func (c *Cluster) OwnedMachines() (mine map[string]Owner, orphans []string, fresh bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	mine = map[string]Owner{}
@@ -236,7 +236,7 @@
 	}
 	c.mu.Unlock()
 	if young > maxTransfers {
-		if err := c.Raise(ctx); err != nil {
+		if err := c.AdvanceEpoch(ctx); err != nil {
 			c.opts.Log.Debug("raising the token failed", "err", err)
 		}
 		return
--- a/internal/scheduler/division.go
+++ b/internal/scheduler/division.go
@@ -41,8 +41,8 @@
 	if s.building {
 		return
 	}
-	epoch, condition := s.opts.Authority.Division()
-	mine, orphans, fresh := s.opts.Authority.Owners()
+	epoch, condition := s.opts.Authority.CurrentEpoch()
+	mine, orphans, fresh := s.opts.Authority.OwnedMachines()
 	if !fresh {
 		return // an owner's write of the epoch before may be missing; the watch brings it
 	}
@@ -173,7 +173,7 @@
 	if s.isGoneLocked(r.Machine) {
 		return nil, false // sent before its machine was returned
 	}
-	node, owned := s.opts.Authority.Home(r.Machine)
+	node, owned := s.opts.Authority.HeartbeatTarget(r.Machine)
 	if node != s.opts.Node || s.moving[r.Machine] {
 		return nil, false
 	}
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -341,7 +341,7 @@
 	}
 	s.raising, s.raised = true, now
 	s.goDo(func(ctx context.Context) {
-		if err := s.opts.Authority.Raise(ctx); err != nil {
+		if err := s.opts.Authority.AdvanceEpoch(ctx); err != nil {
 			s.log.Info("raising the token failed", "err", err)
 		}
 		s.mu.Lock()
@@ -361,7 +361,7 @@
 		last = m.SessionAt
 	}
 	if m.fence > 0 {
-		fenced, ok := s.opts.Authority.Fenced(m.fence)
+		fenced, ok := s.opts.Authority.FencedSince(m.fence)
 		if !ok {
 			return time.Time{}, false
 		}
--- a/internal/scheduler/giving.go
+++ b/internal/scheduler/giving.go
@@ -154,7 +154,7 @@
 		return
 	}
 	if s.div.Leader != s.opts.Node {
-		if !s.opts.Authority.Loads()[s.div.Leader].Overloaded {
+		if !s.opts.Authority.PeerLoads()[s.div.Leader].Overloaded {
 			s.giveLocked(idle[keep:], s.div.Leader)
 		}
 		return
--- a/internal/scheduler/lend.go
+++ b/internal/scheduler/lend.go
@@ -224,7 +224,7 @@
 	reply.Ready = true
 	now := time.Now()
 	s.beginPassLocked()
-	overloaded := s.opts.Authority.Loads()[req.Node].Overloaded
+	overloaded := s.opts.Authority.PeerLoads()[req.Node].Overloaded
 	for _, w := range req.Wanted {
 		s.placeWantedLocked(req.Node, overloaded, w, reply, now)
 	}
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -122,7 +122,7 @@
 		if s.isGoneLocked(lm.ID) || s.opts.Actions.Condemned(lm.ID) {
 			continue
 		}
-		if node, owned := s.opts.Authority.Home(lm.ID); owned && node != s.opts.Node {
+		if node, owned := s.opts.Authority.HeartbeatTarget(lm.ID); owned && node != s.opts.Node {
 			delete(s.supply.booting, lm.ID)
 			continue // its owner looks after it
 		}
--- a/internal/scheduler/pagewrite.go
+++ b/internal/scheduler/pagewrite.go
@@ -247,7 +247,7 @@
 func (s *Scheduler) fenceLocked() state.Fence {
 	fence := s.div.condition
 	return state.Fence{Condition: fence, Current: func() bool {
-		_, condition := s.opts.Authority.Division()
+		_, condition := s.opts.Authority.CurrentEpoch()
 		return condition == fence
 	}}
 }
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -35,7 +35,7 @@
 	defer s.mu.Unlock()
 	defer s.redivide()
 	s.building = false
-	if now, _ := s.opts.Authority.Division(); err != nil || ctx.Err() != nil || now.Token != epoch.Token {
+	if now, _ := s.opts.Authority.CurrentEpoch(); err != nil || ctx.Err() != nil || now.Token != epoch.Token {
 		// The next division starts over: what was read may be outdated.
 		if err != nil {
 			s.log.Info("rebuilding the share failed, trying again", "err", err)
--- a/internal/scheduler/relief.go
+++ b/internal/scheduler/relief.go
@@ -46,7 +46,7 @@
 // share's would have both look after as many; none if that member is itself short
 // of processor time.
 func (s *Scheduler) reliefLocked() (node string, surplus int) {
-	for candidate, load := range s.opts.Authority.Loads() {
+	for candidate, load := range s.opts.Authority.PeerLoads() {
 		if n := (len(s.machines) - load.Machines) / 2; !load.Overloaded && (n > surplus || n == surplus && candidate < node) {
 			node, surplus = candidate, n
 		}
--- a/internal/scheduler/rent.go
+++ b/internal/scheduler/rent.go
@@ -74,7 +74,7 @@
 			all = append(all, demand{js, n})
 		}
 	}
-	for _, w := range s.opts.Authority.Wants() {
+	for _, w := range s.opts.Authority.UnplacedWants() {
 		js := s.guests[w.Job]
 		if js == nil {
 			r := s.opts.Jobs.Active(w.Job)
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -31,11 +31,11 @@
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	token, permitted := s.opts.Authority.Permit()
+	token, permitted := s.opts.Authority.FencingToken()
 	if !permitted {
 		return nil
 	}
-	if node, owned := s.opts.Authority.Home(r.Machine); owned && node != s.opts.Node {
+	if node, owned := s.opts.Authority.HeartbeatTarget(r.Machine); owned && node != s.opts.Node {
 		return nil // given since, whatever this share has not followed yet
 	}
 	m, coming := s.machines[r.Machine], false
@@ -230,7 +230,7 @@
 		m.sendAgain = true
 		return
 	}
-	token, permitted := s.opts.Authority.Permit()
+	token, permitted := s.opts.Authority.FencingToken()
 	if m.Address == "" || !m.Reported || !permitted {
 		return
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -27,15 +27,15 @@
 // acts as leader or follower, the fencing token it writes under, which
 // machines it owns, and what is proven about other controllers.
 type Authority interface {
-	Division() (cluster.Epoch, wire.Condition)
+	CurrentEpoch() (cluster.Epoch, wire.Condition)
 	Token() uint64
-	// Permit tells whether the scheduler may answer and command workers now,
+	// FencingToken tells whether the scheduler may answer and command workers now,
 	// and under which fencing token.
-	Permit() (token uint64, ok bool)
-	Fenced(token uint64) (time.Time, bool)
-	Raise(ctx context.Context) error
-	Owners() (mine map[string]cluster.Owner, orphans []string, fresh bool)
-	Home(machine string) (node string, owned bool)
+	FencingToken() (token uint64, ok bool)
+	FencedSince(token uint64) (time.Time, bool)
+	AdvanceEpoch(ctx context.Context) error
+	OwnedMachines() (mine map[string]cluster.Owner, orphans []string, fresh bool)
+	HeartbeatTarget(machine string) (node string, owned bool)
 	HostOf(epoch *cluster.Epoch, machine string) string
 	OwnerOf(machine string) (o cluster.Owner, named bool)
 	Fresh() bool
@@ -43,8 +43,8 @@
 	NoteOwner(change wire.Change, version uint64)
 	Totals() (machines, idle int, cpus, free float64)
 	Idle(node string) int
-	Loads() map[string]cluster.Load
-	Wants() []*peerpb.Want
+	PeerLoads() map[string]cluster.Load
+	UnplacedWants() []*peerpb.Want
 }
 
 // Workers sends commands and status requests straight to workers, by address.
@@ -386,6 +386,6 @@
 
 // permitted tells whether the scheduler may act for its machines now.
 func (s *Scheduler) permitted() bool {
-	_, ok := s.opts.Authority.Permit()
+	_, ok := s.opts.Authority.FencingToken()
 	return ok
 }
