--- a/cmd/handovers/member.go
+++ b/cmd/failovertest/node.go
@@ -7,12 +7,12 @@
 	"time"
 
 	"heronwick/internal/cloud"
-	"heronwick/internal/handover"
+	"heronwick/internal/failovertest"
 	"heronwick/internal/state"
 )
 
-// memberCommand is one controller.
-type memberCommand struct {
+// nodeCommand is one controller.
+type nodeCommand struct {
 	Node    string
 	Address string
 	Lease   time.Duration
@@ -24,9 +24,9 @@
 const unlimited = 1000
 
 // Run implements kong's interface of a command.
-func (c *memberCommand) Run() error {
+func (c *nodeCommand) Run() error {
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError}))
-	handover.NewMember(handover.MemberOptions{Node: c.Node, Lease: c.Lease, State: state.NewHTTP(c.Address), Provider: cloud.NewClient(c.Address, unlimited),
-		Seed: c.Seed, Pace: c.Pace, Log: log}).Run(context.Background())
+	failovertest.NewNode(failovertest.NodeOptions{Name: c.Node, Lease: c.Lease, State: state.NewHTTP(c.Address), Provider: cloud.NewClient(c.Address, unlimited),
+		Seed: c.Seed, ActionInterval: c.Pace, Log: log}).Run(context.Background())
 	return nil
 }
--- a/cmd/handovers/processes.go
+++ b/cmd/failovertest/processes.go
@@ -15,14 +15,14 @@
 	"github.com/valyala/fasthttp"
 
 	"heronwick/internal/cloud"
-	"heronwick/internal/handover"
+	"heronwick/internal/failovertest"
 	"heronwick/wire"
 )
 
 // processes are controllers that run as processes of their own.
 type processes struct {
 	ctx      context.Context
-	judge    *handover.Judge
+	checker  *failovertest.Checker
 	run      *runCommand
 	seed     uint64
 	children []*child
@@ -30,13 +30,13 @@
 
 // child is one controller's process.
 type child struct {
-	*handover.Door
+	*failovertest.Proxy
 	command *exec.Cmd
 }
 
 // start starts a controller and offers it the store and the machine service at an
 // address of its own, by which it is known.
-func (p *processes) start(name string) handover.Controller {
+func (p *processes) start(name string) failovertest.Controller {
 	p.seed++
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	program, programErr := os.Executable()
@@ -45,12 +45,12 @@
 	}
 	c := &child{command: exec.CommandContext(p.ctx, program, "member", "--node="+name, "--address="+listener.Addr().String(),
 		"--lease="+p.run.lease().String(), "--pace="+p.run.Pace.String(), "--seed="+strconv.FormatUint(p.seed, 10))}
-	c.Door = handover.NewDoor(p.judge, name, p.seed, func() { c.signal(syscall.SIGSTOP) })
+	c.Proxy = failovertest.NewProxy(p.checker, name, p.seed, func() { c.signal(syscall.SIGSTOP) })
 	c.command.Stderr = os.Stderr
-	// In a process group of its own: one that has stopped members and loses its shell is
+	// In a process group of its own: one that has stopped nodes and loses its shell is
 	// ended whole, this process included.
 	c.command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
-	server := &fasthttp.Server{Handler: p.handler(c.Door)}
+	server := &fasthttp.Server{Handler: p.handler(c.Proxy)}
 	go func() { _ = server.Serve(listener) }()
 	context.AfterFunc(p.ctx, func() { _ = listener.Close() })
 	if err := c.command.Start(); err != nil {
@@ -63,16 +63,16 @@
 // signal sends a signal to the controller, if it has not ended.
 func (c *child) signal(signal syscall.Signal) { _ = c.command.Process.Signal(signal) }
 
-// Resume implements handover.Controller.
+// Resume implements failovertest.Controller.
 func (c *child) Resume() {
-	c.Door.Resume()
+	c.Proxy.Resume()
 	c.signal(syscall.SIGCONT)
 }
 
-// Kill implements handover.Controller.
+// Kill implements failovertest.Controller.
 func (c *child) Kill() {
 	c.signal(syscall.SIGKILL)
-	c.Door.Resume() // what it had sent is carried out
+	c.Proxy.Resume() // what it had sent is carried out
 	_ = c.command.Wait()
 }
 
@@ -84,7 +84,7 @@
 }
 
 // handler serves one controller.
-func (p *processes) handler(door *handover.Door) fasthttp.RequestHandler {
+func (p *processes) handler(door *failovertest.Proxy) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		if path := string(ctx.Path()); strings.HasPrefix(path, wire.PathMachines) {
 			p.machines(ctx, path, door)
@@ -100,7 +100,7 @@
 }
 
 // machines answers a request to the machine service. One whose answer is lost gets 504.
-func (p *processes) machines(ctx *fasthttp.RequestCtx, path string, door *handover.Door) {
+func (p *processes) machines(ctx *fasthttp.RequestCtx, path string, door *failovertest.Proxy) {
 	var names wire.MachineNames
 	var request wire.RentRequest
 	var reply any = &names
