--- a/cmd/heronwick/chains.go
+++ b/cmd/heronwick/chains.go
@@ -15,7 +15,7 @@
 // chainWatch tells operators of chains of jobs that come into danger. Only its own
 // loop calls look.
 type chainWatch struct {
-	catalog *job.Catalog
+	catalog *job.Store
 	owns    func(id string) bool
 	log     *slog.Logger
 	warned  map[string]bool // by the chain's last job
@@ -24,14 +24,14 @@
 	endangered     atomic.Int64 // chains that have come into danger
 }
 
-func newChainWatch(catalog *job.Catalog, owns func(id string) bool, log *slog.Logger) *chainWatch {
+func newChainWatch(catalog *job.Store, owns func(id string) bool, log *slog.Logger) *chainWatch {
 	return &chainWatch{catalog: catalog, owns: owns, log: log, warned: map[string]bool{}}
 }
 
 // look finds the chains that are in danger. Each is logged once, by the owner of
 // its last job.
 func (w *chainWatch) look() {
-	chains := w.catalog.Chains(time.Now())
+	chains := w.catalog.DependencyGraphs(time.Now())
 	warned := map[string]bool{}
 	inDanger := int64(0)
 	for i := range chains {
--- a/cmd/heronwick/controller.go
+++ b/cmd/heronwick/controller.go
@@ -59,7 +59,7 @@
 	budget    *state.Budget
 	client    *state.Client
 	committer *state.Committer
-	catalog   *job.Catalog
+	catalog   *job.Store
 	offers    *cloud.Offers
 	members   *cluster.Cluster
 	overload  overload.Meter
@@ -102,7 +102,7 @@
 	c.budget = state.NewBudget(settings.StateRPS*otherPart, settings.StateWriteRPS*otherPart, settings.TxnOps)
 	c.client = state.NewClient(c.route, c.budget)
 	c.committer = state.NewCommitter(c.client, settings.TxnOps)
-	c.catalog = job.NewCatalog(job.Options{
+	c.catalog = job.NewStore(job.Options{
 		Client: c.client, Committer: c.committer, MaxValue: settings.ValueBytes, Log: log,
 		AcceptsChains: func() bool { return c.members.Supports(cluster.LevelChains) },
 	})
@@ -128,7 +128,7 @@
 	c.front = server.New(server.Options{
 		Settings: settings, Jobs: c.catalog, Types: c.offers.Types, Checkin: c.checkin, Ready: c.ready,
 		Latency: func() time.Duration { return c.latency() }, Gauges: c.gauges(), Log: log,
-		Chains: func() []wire.DAG { return c.catalog.Chains(time.Now()) },
+		Chains: func() []wire.DAG { return c.catalog.DependencyGraphs(time.Now()) },
 		Duties: c.dutyReport, HandOver: c.handOver, ClearDuty: c.clearDuty,
 	})
 	return c
--- a/internal/cluster/replicate.go
+++ b/internal/cluster/replicate.go
@@ -16,7 +16,7 @@
 // them, see docs/design.md, "Cancelled means known".
 type Cancellations interface {
 	// Known tells what is known, and names those after a revision.
-	Known(after uint64) job.Knowledge
+	Known(after uint64) job.CancellationState
 	Learn(cancelled []job.Cancellation)
 	// CatchUp makes every one up to a revision known that was seen in the store.
 	CatchUp(ctx context.Context, revision uint64) error
@@ -41,7 +41,7 @@
 }
 
 func oneToPeer(n job.Cancellation) *peerpb.Cancelled {
-	f := &n.Final
+	f := &n.Outcome
 	return &peerpb.Cancelled{Job: n.Job, Revision: n.Revision, Tasks: uint32(f.Tasks), Team: f.Team,
 		Cpus: f.CPUs, Gpus: f.GPUs, MemoryGb: f.MemoryGB}
 }
@@ -50,7 +50,7 @@
 	var cancelled []job.Cancellation
 	for _, n := range all {
 		cancelled = append(cancelled, job.Cancellation{Job: n.Job, Revision: n.Revision,
-			Final: job.Final{
+			Outcome: job.Outcome{
 				State: wire.JobCancelled, Tasks: int(n.Tasks), Team: n.Team, CPUs: n.Cpus, GPUs: n.Gpus, MemoryGB: n.MemoryGb}})
 	}
 	return cancelled
--- a/internal/job/answers.go
+++ b/internal/job/answers.go
@@ -13,11 +13,11 @@
 
 // cached answers from memory: a final state is true for ever, an active
 // record only if its condition still holds.
-func (c *Catalog) cached(id string) (status wire.JobStatus, r *Record, final bool) {
+func (c *Store) cached(id string) (status wire.JobStatus, r *Record, final bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if o := c.final[id]; o != nil {
-		return finalStatus(id, o.Final), nil, true
+		return finalStatus(id, o.Outcome), nil, true
 	}
 	r = c.active[id]
 	if r != nil {
@@ -26,7 +26,7 @@
 	return status, r, false
 }
 
-func finalStatus(id string, f Final) wire.JobStatus {
+func finalStatus(id string, f Outcome) wire.JobStatus {
 	s := wire.JobStatus{ID: id, State: f.State}
 	if f.State == wire.JobDone {
 		s.Done = f.Tasks
@@ -34,7 +34,7 @@
 	return s
 }
 
-func (c *Catalog) activeStatusLocked(id string) wire.JobStatus {
+func (c *Store) activeStatusLocked(id string) wire.JobStatus {
 	p := c.progress[id]
 	return wire.JobStatus{ID: id, State: p.state(), Done: p.Done, Running: p.Running}
 }
@@ -47,9 +47,9 @@
 	return wire.JobQueued
 }
 
-// read asks the store for a job and caches what it says. Finals come first:
+// read asks the store for a job and caches what it says. Outcomes come first:
 // a job that ends between the two reads is found by reading them once more.
-func (c *Catalog) read(ctx context.Context, id string) (status wire.JobStatus, found bool, err error) {
+func (c *Store) read(ctx context.Context, id string) (status wire.JobStatus, found bool, err error) {
 	for range 2 {
 		for _, key := range []string{finalPrefix + id, activePrefix + id} {
 			if found, err = c.readKey(ctx, key); err != nil {
@@ -65,7 +65,7 @@
 }
 
 // readKey asks the store for a record and caches it.
-func (c *Catalog) readKey(ctx context.Context, key string) (found bool, err error) {
+func (c *Store) readKey(ctx context.Context, key string) (found bool, err error) {
 	item, err := c.client.Get(ctx, state.Safety, key)
 	if errors.Is(err, state.ErrNotFound) {
 		return false, nil
@@ -84,25 +84,25 @@
 
 // Resolve finds out about a job that is not cached: whether it is over, or
 // not known at all. An active one is told to the listener.
-func (c *Catalog) Resolve(ctx context.Context, id string) (f Final, over, found bool, err error) {
+func (c *Store) Resolve(ctx context.Context, id string) (f Outcome, over, found bool, err error) {
 	if f, over = c.ended(id); over {
 		return f, true, true, nil
 	}
 	if _, found, err = c.read(ctx, id); err != nil || !found {
-		return Final{}, false, false, err
+		return Outcome{}, false, false, err
 	}
 	f, over = c.ended(id)
 	return f, over, true, nil
 }
 
 // ended returns how a job ended, if it is known to be over.
-func (c *Catalog) ended(id string) (f Final, over bool) {
+func (c *Store) ended(id string) (f Outcome, over bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if o := c.final[id]; o != nil {
-		return o.Final, true
+		return o.Outcome, true
 	}
-	return Final{}, false
+	return Outcome{}, false
 }
 
 // answerTries bounds how often an answer is begun anew since something has moved
@@ -111,7 +111,7 @@
 
 // Status answers a poll. What memory says is confirmed by a transaction that
 // only compares, many polls in one.
-func (c *Catalog) Status(ctx context.Context, id string) (status wire.JobStatus, found bool, err error) {
+func (c *Store) Status(ctx context.Context, id string) (status wire.JobStatus, found bool, err error) {
 	for range answerTries {
 		status, r, final := c.cached(id)
 		if final {
@@ -136,7 +136,7 @@
 }
 
 // knownInStore tells whether the store has a job that is not cached, and caches it.
-func (c *Catalog) knownInStore(ctx context.Context, id string) (found bool, err error) {
+func (c *Store) knownInStore(ctx context.Context, id string) (found bool, err error) {
 	_, err = c.commit.Commit(ctx, state.Write{Priority: state.Safety, If: unknown(id)})
 	var conflict *state.Conflict
 	switch {
@@ -149,7 +149,7 @@
 }
 
 // Submit accepts a job, or tells its state if that was done before.
-func (c *Catalog) Submit(ctx context.Context, j wire.Job) (status wire.JobStatus, created bool, err error) {
+func (c *Store) Submit(ctx context.Context, j wire.Job) (status wire.JobStatus, created bool, err error) {
 	if !c.Ready() {
 		return wire.JobStatus{}, false, ErrNotReady
 	}
@@ -182,7 +182,7 @@
 
 // newRecord makes the record of a job that is about to be accepted. The error is
 // a *wire.FieldError if the job can never be.
-func (c *Catalog) newRecord(ctx context.Context, j wire.Job) (r *Record, value []byte, err error) {
+func (c *Store) newRecord(ctx context.Context, j wire.Job) (r *Record, value []byte, err error) {
 	if len(j.Dependencies) > 0 && !c.acceptsChains() {
 		return nil, nil, ErrChainsNotYet
 	}
@@ -202,7 +202,7 @@
 
 // Cancel cancels a job unless it is over. Before it returns, the cancellation
 // is in the store and enough controllers know it.
-func (c *Catalog) Cancel(ctx context.Context, id string) (status wire.JobStatus, found bool, err error) {
+func (c *Store) Cancel(ctx context.Context, id string) (status wire.JobStatus, found bool, err error) {
 	for range 3 {
 		status, r, final := c.cached(id)
 		if final {
@@ -231,7 +231,7 @@
 
 // Finish records that every task of the job is done. With an outdated fence it
 // fails with a *state.Conflict that names no key.
-func (c *Catalog) Finish(ctx context.Context, r *Record, fence state.Fence) error {
+func (c *Store) Finish(ctx context.Context, r *Record, fence state.Fence) error {
 	return c.end(ctx, r, wire.JobDone, &fence)
 }
 
@@ -239,7 +239,7 @@
 // tried until the store has answered. A write that waits for budget is dropped
 // once its fence is outdated or the job is over: it would only use up what other
 // writes wait for.
-func (c *Catalog) end(ctx context.Context, r *Record, s wire.JobState, fence *state.Fence) error {
+func (c *Store) end(ctx context.Context, r *Record, s wire.JobState, fence *state.Fence) error {
 	f := finalOf(&r.Job, s, time.Now())
 	write := endWrite(r, &f, state.Safety)
 	write.Fresh = func() bool { return !c.Over(r.Job.ID) }
@@ -256,15 +256,15 @@
 }
 
 // finalOf is the record of a job's end.
-func finalOf(j *wire.Job, s wire.JobState, at time.Time) Final {
-	return Final{State: s, Tasks: j.Tasks, Team: j.Team, CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB, EndedMs: at.UnixMilli()}
+func finalOf(j *wire.Job, s wire.JobState, at time.Time) Outcome {
+	return Outcome{State: s, Tasks: j.Tasks, Team: j.Team, CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB, EndedMs: at.UnixMilli()}
 }
 
 // endWrite is the write that ends an active job, unless it is over.
-func endWrite(r *Record, f *Final, p state.Priority) state.Write {
+func endWrite(r *Record, f *Outcome, p state.Priority) state.Write {
 	value, err := json.Marshal(f)
 	if err != nil {
-		panic(err) // a Final holds nothing that cannot be encoded
+		panic(err) // an Outcome holds nothing that cannot be encoded
 	}
 	return state.Write{
 		Priority: p,
--- a/internal/job/cancelled.go
+++ b/internal/job/cancelled.go
@@ -21,7 +21,7 @@
 type Cancellation struct {
 	Job      string
 	Revision uint64 // of the store, at which it was carried out
-	Final    Final
+	Outcome  Outcome
 }
 
 // Replicator tells others of a cancellation before it is confirmed to a user.
@@ -38,15 +38,15 @@
 	maxCancelled  = 4096
 )
 
-// learnt is a cancellation and when this controller learnt of it.
-type learnt struct {
+// knownCancellation is a cancellation and when this controller knownCancellation of it.
+type knownCancellation struct {
 	Cancellation
 	at time.Time
 }
 
 // cancellationLog keeps the cancellations that are to be handed over to others.
 type cancellationLog struct {
-	entries []learnt // in the order in which they were learnt
+	entries []knownCancellation // in the order in which they were learnt
 	// base is a revision of the store: all that are known and came after it are
 	// among the entries.
 	base uint64
@@ -54,7 +54,7 @@
 
 // add keeps a cancellation, and drops those that are too old or too many.
 func (l *cancellationLog) add(n Cancellation, now time.Time) {
-	l.entries = append(l.entries, learnt{n, now})
+	l.entries = append(l.entries, knownCancellation{n, now})
 	for len(l.entries) > maxCancelled || now.Sub(l.entries[0].at) > keepCancelled {
 		l.base = max(l.base, l.entries[0].Revision)
 		l.entries = l.entries[1:]
@@ -71,8 +71,8 @@
 	return named
 }
 
-// Knowledge is what a controller knows of cancellations.
-type Knowledge struct {
+// CancellationState is what a controller knows of cancellations.
+type CancellationState struct {
 	// Read: the jobs have been read; else nothing is known.
 	Read bool
 	// Revision is up to which of the store's every one is known.
@@ -84,25 +84,25 @@
 }
 
 // Known tells what is known of cancellations, and names those after a revision.
-func (c *Catalog) Known(after uint64) Knowledge {
+func (c *Store) Known(after uint64) CancellationState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.Ready() {
-		return Knowledge{}
+		return CancellationState{}
 	}
-	return Knowledge{Read: true, Revision: c.revision, Base: c.cancelled.base, Named: c.cancelled.after(after)}
+	return CancellationState{Read: true, Revision: c.revision, Base: c.cancelled.base, Named: c.cancelled.after(after)}
 }
 
 // Learn takes cancellations that another controller knows.
-func (c *Catalog) Learn(cancelled []Cancellation) {
+func (c *Store) Learn(cancelled []Cancellation) {
 	for _, n := range cancelled {
-		c.setFinal(n.Job, n.Final, n.Revision)
+		c.setFinal(n.Job, n.Outcome, n.Revision)
 	}
 }
 
 // CatchUp makes every cancellation up to a revision known, which the caller
 // has seen in the store.
-func (c *Catalog) CatchUp(ctx context.Context, revision uint64) error {
+func (c *Store) CatchUp(ctx context.Context, revision uint64) error {
 	c.mu.Lock()
 	after, ready := c.revision, c.Ready()
 	c.mu.Unlock()
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// take applies what a watch from the catalog's revision has brought.
-func (c *Catalog) take(events wire.Events, known uint64) {
+// take applies what a watch from the store's last revision has brought.
+func (c *Store) take(events wire.Events, known uint64) {
 	for _, e := range events.Events {
 		c.apply(e)
 	}
@@ -135,7 +135,7 @@
 }
 
 // told returns the answer for a job that is over, as soon as it may be given.
-func (c *Catalog) told(ctx context.Context, id string, status wire.JobStatus) (wire.JobStatus, bool, error) {
+func (c *Store) told(ctx context.Context, id string, status wire.JobStatus) (wire.JobStatus, bool, error) {
 	c.mu.Lock()
 	o, replicator := c.final[id], c.replicator
 	held := o != nil && o.State == wire.JobCancelled && !o.replicated && replicator != nil
@@ -143,7 +143,7 @@
 	if !held {
 		return status, true, nil
 	}
-	if err := replicator.Replicate(ctx, Cancellation{Job: id, Revision: o.revision, Final: o.Final}); err != nil {
+	if err := replicator.Replicate(ctx, Cancellation{Job: id, Revision: o.revision, Outcome: o.Outcome}); err != nil {
 		return wire.JobStatus{}, false, fmt.Errorf("%w: telling others that %s is cancelled: %w", state.ErrUnavailable, id, err)
 	}
 	c.mu.Lock()
@@ -153,7 +153,7 @@
 }
 
 // Over tells whether a job is known to be over, without asking the store.
-func (c *Catalog) Over(id string) bool {
+func (c *Store) Over(id string) bool {
 	_, over := c.ended(id)
 	return over
 }
--- a/internal/job/dependencies.go
+++ b/internal/job/dependencies.go
@@ -19,20 +19,20 @@
 // asked, and needs no write of its own. What users are told of a job that waits
 // is true of all that it waits for, see Status.
 
-// Standing tells what a job's place in its chain says of it; one that is not
+// Readiness tells whether a job's DAG dependencies are done and what priority it inherits; one that is not
 // known to be active is not ready.
-func (c *Catalog) Standing(r *Record) Standing {
+func (c *Store) Readiness(r *Record) Readiness {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if v := c.graph.vertices[r.Job.ID]; v != nil && !v.over {
-		return v.standing()
+		return v.readiness()
 	}
-	return Standing{Order: r.order()}
+	return Readiness{EffectivePriority: r.ownPriority()}
 }
 
 // implyAfterLocked takes all jobs after a cancelled one for cancelled.
-func (c *Catalog) implyAfterLocked(id string) map[string]Final {
-	ended := map[string]Final{}
+func (c *Store) implyAfterLocked(id string) map[string]Outcome {
+	ended := map[string]Outcome{}
 	for _, after := range c.graph.after(id) {
 		r := c.active[after]
 		if r == nil {
@@ -46,7 +46,7 @@
 
 // implyLocked takes a job that names a cancelled one for cancelled, with all that
 // come after it.
-func (c *Catalog) implyLocked(cancelled string, r *Record) map[string]Final {
+func (c *Store) implyLocked(cancelled string, r *Record) map[string]Outcome {
 	f := c.implyOneLocked(cancelled, r)
 	ended := c.implyAfterLocked(r.Job.ID)
 	ended[r.Job.ID] = f
@@ -55,9 +55,9 @@
 
 // implyOneLocked takes a job for cancelled as another is. It has no task, and can
 // get none, so nobody need be told before its user is.
-func (c *Catalog) implyOneLocked(cancelled string, r *Record) Final {
+func (c *Store) implyOneLocked(cancelled string, r *Record) Outcome {
 	f := finalOf(&r.Job, wire.JobCancelled, time.Now())
-	c.keepFinalLocked(r.Job.ID, &ending{Final: f, revision: c.final[cancelled].revision, replicated: true})
+	c.keepFinalLocked(r.Job.ID, &outcomeEntry{Outcome: f, revision: c.final[cancelled].revision, replicated: true})
 	c.implied[r.Job.ID] = r
 	return f
 }
@@ -66,8 +66,8 @@
 // a multiple of the changes in a transaction: others' share that transaction.
 const maxConditions = 2
 
-// evidence is what must hold for a job that is known as active to be so.
-type evidence struct {
+// activeProof is what must hold for a job that is known as active to be so.
+type activeProof struct {
 	conditions []wire.Condition
 	// unknown are jobs before it of which nothing is known here.
 	unknown []string
@@ -76,12 +76,12 @@
 	partial bool
 }
 
-// evidenceOf gathers what must hold for an active job not to be cancelled: its own
+// activeProofOf gathers what must hold for an active job not to be cancelled: its own
 // record and those of all jobs before it that may still be cancelled.
-func (c *Catalog) evidenceOf(r *Record) evidence {
+func (c *Store) activeProofOf(r *Record) activeProof {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e := evidence{conditions: []wire.Condition{r.Condition()}}
+	e := activeProof{conditions: []wire.Condition{r.Condition()}}
 	for _, id := range c.graph.unfinishedBefore(r.Job.ID) {
 		before := c.active[id]
 		switch {
@@ -101,8 +101,8 @@
 
 // check confirms in the store that a job is still active as known. again tells
 // that something has moved on, has been read, and must be judged anew.
-func (c *Catalog) check(ctx context.Context, r *Record) (again bool, err error) {
-	e := c.evidenceOf(r)
+func (c *Store) check(ctx context.Context, r *Record) (again bool, err error) {
+	e := c.activeProofOf(r)
 	for _, id := range e.unknown {
 		if _, _, err := c.read(ctx, id); err != nil {
 			return false, err
@@ -133,7 +133,7 @@
 
 // checkNeeds tells whether all jobs that a job names were accepted: that is so for
 // ever. The error is a *wire.FieldError if one of them never was.
-func (c *Catalog) checkNeeds(ctx context.Context, j *wire.Job) error {
+func (c *Store) checkNeeds(ctx context.Context, j *wire.Job) error {
 	for _, id := range j.Dependencies {
 		if err := c.checkNeed(ctx, j, id); err != nil {
 			return err
@@ -142,7 +142,7 @@
 	return nil
 }
 
-func (c *Catalog) checkNeed(ctx context.Context, j *wire.Job, id string) error {
+func (c *Store) checkNeed(ctx context.Context, j *wire.Job, id string) error {
 	never := &wire.FieldError{Field: wire.FieldDependencies, Reason: id + " never accepted"}
 	if id == j.ID || !wire.ValidJobID(id) {
 		return never
@@ -167,7 +167,7 @@
 }
 
 // resolveLaterLocked has a job looked up that others need.
-func (c *Catalog) resolveLaterLocked(id string) {
+func (c *Store) resolveLaterLocked(id string) {
 	c.unresolved[id] = true
 	select {
 	case c.toResolve <- struct{}{}:
@@ -180,7 +180,7 @@
 
 // runResolver looks up the jobs that others need and that are not among the active
 // ones: mostly they were done before this controller started.
-func (c *Catalog) runResolver(ctx context.Context) error {
+func (c *Store) runResolver(ctx context.Context) error {
 	if c.Wait(ctx) != nil {
 		return nil
 	}
@@ -194,7 +194,7 @@
 	}
 }
 
-func (c *Catalog) resolveAll(ctx context.Context) {
+func (c *Store) resolveAll(ctx context.Context) {
 	c.mu.Lock()
 	var ids []string
 	for id := range c.unresolved {
@@ -233,7 +233,7 @@
 
 // runImplied ends the active records of jobs that are cancelled since one before
 // them is, so that they need not be looked up again after a restart.
-func (c *Catalog) runImplied(ctx context.Context) error {
+func (c *Store) runImplied(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait.For(ctx, settleImpliedEvery/2+rand.N(settleImpliedEvery))
 		c.mu.Lock()
@@ -252,18 +252,18 @@
 	return nil
 }
 
-func (c *Catalog) settleImplied(ctx context.Context, r *Record) {
+func (c *Store) settleImplied(ctx context.Context, r *Record) {
 	c.mu.Lock()
 	o, implied := c.final[r.Job.ID], c.implied[r.Job.ID] != nil
 	c.mu.Unlock()
 	if !implied {
 		return
 	}
-	revision, err := c.commit.Commit(ctx, endWrite(r, &o.Final, state.Background))
+	revision, err := c.commit.Commit(ctx, endWrite(r, &o.Outcome, state.Background))
 	var conflict *state.Conflict
 	switch {
 	case err == nil:
-		c.setFinal(r.Job.ID, o.Final, revision)
+		c.setFinal(r.Job.ID, o.Outcome, revision)
 	case errors.As(err, &conflict):
 		// Another controller, or the job's user, came first.
 		if _, err := c.readKey(ctx, finalPrefix+r.Job.ID); err != nil {
--- a/internal/job/chains.go
+++ b/internal/job/dependency_graphs.go
@@ -9,14 +9,14 @@
 	"heronwick/wire"
 )
 
-// Chains tells of all chains that are live, those in danger first, then by
+// DependencyGraphs describes every live DAG of dependencies, those in danger first, then by
 // deadline.
-func (c *Catalog) Chains(now time.Time) []wire.DAG {
+func (c *Store) DependencyGraphs(now time.Time) []wire.DAG {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var chains []wire.DAG
 	for _, last := range c.graph.lasts() {
-		chains = append(chains, c.chainLocked(last, now))
+		chains = append(chains, c.dependencyGraphLocked(last, now))
 	}
 	slices.SortFunc(chains, func(a, b wire.DAG) int {
 		return cmp.Or(compareDanger(a, b), compareDeadlines(a.LeftS, b.LeftS), cmp.Compare(a.Sink, b.Sink))
@@ -47,18 +47,18 @@
 	return 0
 }
 
-// chainLocked tells of the chain that ends with a job.
-func (c *Catalog) chainLocked(last *vertex, now time.Time) wire.DAG {
+// dependencyGraphLocked describes the dependency graph whose last job is last.
+func (c *Store) dependencyGraphLocked(last *vertex, now time.Time) wire.DAG {
 	id := last.record.Job.ID
 	chain := wire.DAG{Sink: id}
 	expected := map[string]time.Time{} // when each should be done
 	for _, v := range c.graph.upTo(last) {
 		progress := c.progress[v.record.Job.ID]
 		expected[v.record.Job.ID] = v.expectedDone(now, expected, progress)
-		chain.Jobs = append(chain.Jobs, v.chainJob(progress))
+		chain.Jobs = append(chain.Jobs, v.graphJob(progress))
 	}
 	chain.ExpectedS = expected[id].Sub(now).Seconds()
-	if due := last.order.Due; !due.IsZero() {
+	if due := last.priority.Due; !due.IsZero() {
 		left := due.Sub(now).Seconds()
 		chain.Deadline, chain.LeftS = &due, &left
 		chain.InDanger = expected[id].After(due)
@@ -91,7 +91,7 @@
 	return start.Add(v.expected())
 }
 
-func (v *vertex) chainJob(p Progress) wire.DAGJob {
+func (v *vertex) graphJob(p Progress) wire.DAGJob {
 	j := &v.record.Job
 	shown := wire.DAGJob{ID: j.ID, Class: j.Class, State: p.state(), Tasks: j.Tasks, Done: p.Done, Running: p.Running}
 	if v.over {
--- a/internal/job/done.go
+++ b/internal/job/done.go
@@ -10,33 +10,33 @@
 	"heronwick/internal/state"
 )
 
-// chunkTasks is how many tasks one key of done tasks covers: as a bit each
+// blockTasks is how many tasks one key of done tasks covers: as a bit each
 // they stay far below the size of a value, and a write stays small.
-const chunkTasks = 8192
+const blockTasks = 8192
 
 // DoneSet is the set of a job's done tasks, a bit each.
 type DoneSet struct {
 	Count int
-	bits  map[int][]byte // by chunk
+	bits  map[int][]byte // by block
 }
 
 // Has tells whether the task is done.
 func (d *DoneSet) Has(task int) bool {
-	chunk := d.bits[task/chunkTasks]
-	at := task % chunkTasks
+	chunk := d.bits[task/blockTasks]
+	at := task % blockTasks
 	return at/8 < len(chunk) && chunk[at/8]&(1<<(at%8)) != 0
 }
 
-// Add marks the task done and returns its chunk.
+// Add marks the task done and returns its block.
 func (d *DoneSet) Add(task int) (chunk int) {
-	chunk = task / chunkTasks
+	chunk = task / blockTasks
 	if d.Has(task) {
 		return chunk
 	}
 	if d.bits == nil {
 		d.bits = map[int][]byte{}
 	}
-	at := task % chunkTasks
+	at := task % blockTasks
 	for len(d.bits[chunk]) <= at/8 {
 		d.bits[chunk] = append(d.bits[chunk], 0)
 	}
@@ -45,13 +45,13 @@
 	return chunk
 }
 
-// Chunk returns a copy of a chunk's bits.
-func (d *DoneSet) Chunk(chunk int) []byte { return append([]byte(nil), d.bits[chunk]...) }
+// Block returns a copy of a block's bits.
+func (d *DoneSet) Block(chunk int) []byte { return append([]byte(nil), d.bits[chunk]...) }
 
-// DonePage is what one key under done/ holds: the done tasks of many jobs, by
-// job and chunk, a bit each. Many jobs to a key make the ends of hundreds of
+// DoneBucket is what one key under done/ holds: the done tasks of many jobs, by
+// job and block, a bit each. Many jobs to a key make the ends of hundreds of
 // tasks one change.
-type DonePage struct {
+type DoneBucket struct {
 	Jobs map[string]map[int][]byte `json:"jobs"`
 	// Write differs between any two writes, so that a read-back tells whose
 	// it was.
@@ -61,36 +61,36 @@
 	Version uint64 `json:"-"`
 }
 
-// DoneKey is the key of a member's n-th page.
-func DoneKey(node string, since, n uint64) string {
+// DoneBucketKey is the key of a member's n-th bucket.
+func DoneBucketKey(node string, since, n uint64) string {
 	return state.MemberKey(donePrefix, node, since, strconv.FormatUint(n, 10))
 }
 
-// DoneOwner tells which member named a page. ok is false for a key of the
-// earlier form, which holds one chunk and has no owner.
-func DoneOwner(key string) (node string, since uint64, ok bool) {
+// DoneBucketOwner tells which member named a bucket. ok is false for a key of the
+// earlier form, which holds one block and has no owner.
+func DoneBucketOwner(key string) (node string, since uint64, ok bool) {
 	return state.MemberOfKey(donePrefix, key)
 }
 
-// doneSyntax is what a page of done tasks holds beside its entries at most.
+// doneSyntax is what a bucket of done tasks holds beside its entries at most.
 const doneSyntax = 128
 
-// EntrySize is about what a chunk of a job with so many tasks takes of a page
+// EntrySize is about what a block of a job with so many tasks takes of a bucket
 // at most.
 func EntrySize(tasks, chunk int) int {
-	bits := min(chunkTasks, tasks-chunk*chunkTasks)
+	bits := min(blockTasks, tasks-chunk*blockTasks)
 	return (bits/8+3)*4/3 + 40
 }
 
 // ReadDone reads the done tasks of all jobs.
-func (c *Catalog) ReadDone(ctx context.Context) ([]DonePage, error) {
+func (c *Store) ReadDone(ctx context.Context) ([]DoneBucket, error) {
 	items, _, err := c.client.List(ctx, state.Safety, donePrefix)
 	if err != nil {
 		return nil, fmt.Errorf("reading done tasks: %w", err)
 	}
-	var pages []DonePage
+	var pages []DoneBucket
 	for _, item := range items {
-		page, err := readDonePage(item.Key, item.Value)
+		page, err := readDoneBucket(item.Key, item.Value)
 		if err != nil {
 			return nil, err
 		}
@@ -100,14 +100,14 @@
 	return pages, nil
 }
 
-// readDonePage reads what a key holds, also in the earlier form: one chunk of
+// readDoneBucket reads what a key holds, also in the earlier form: one block of
 // the job that the key names.
-func readDonePage(key string, value json.RawMessage) (DonePage, error) {
-	page := DonePage{Key: key}
+func readDoneBucket(key string, value json.RawMessage) (DoneBucket, error) {
+	page := DoneBucket{Key: key}
 	if err := json.Unmarshal(value, &page); err != nil {
 		return page, fmt.Errorf("done tasks under %s: %w", key, err)
 	}
-	if _, _, ok := DoneOwner(key); ok {
+	if _, _, ok := DoneBucketOwner(key); ok {
 		return page, nil
 	}
 	var earlier struct {
@@ -125,12 +125,12 @@
 	return page, nil
 }
 
-// AddChunk marks done what a page says of a chunk.
-func (d *DoneSet) AddChunk(chunk int, bits []byte) {
+// AddBlock marks done what a bucket says of a block.
+func (d *DoneSet) AddBlock(chunk int, bits []byte) {
 	for i, b := range bits {
 		for bit := range 8 {
 			if b&(1<<bit) != 0 {
-				d.Add(chunk*chunkTasks + i*8 + bit)
+				d.Add(chunk*blockTasks + i*8 + bit)
 			}
 		}
 	}
--- a/internal/job/graph.go
+++ b/internal/job/graph.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Order is what decides how soon a job is served: its own priority and deadline,
+// EffectivePriority is what decides how soon a job is served: its own priority and deadline,
 // or those of a job that needs it, where they are higher or earlier.
-type Order struct {
+type EffectivePriority struct {
 	Rank int       // of the priority, 0 being the highest
 	Due  time.Time // by when the job has to be done; zero: it has no deadline
 }
 
-// take makes the order as urgent as another one, and tells whether that changed
+// raise makes the order as urgent as another one, and tells whether that changed
 // anything.
-func (o *Order) take(rank int, due time.Time) bool {
+func (o *EffectivePriority) raise(rank int, due time.Time) bool {
 	before := *o
 	o.Rank = min(o.Rank, rank)
 	if !due.IsZero() && (o.Due.IsZero() || due.Before(o.Due)) {
@@ -24,9 +24,9 @@
 	return *o != before
 }
 
-// Standing is what a job's place in its chain says of it.
-type Standing struct {
-	Order
+// Readiness is what a job's place in its dependency graph says of it.
+type Readiness struct {
+	EffectivePriority
 	// Ready: all jobs that it needs are done, which the store has.
 	Ready bool
 	// ReadyAt is when the last of them ended; zero: it needs none.
@@ -40,22 +40,22 @@
 	over       bool
 	unfinished map[string]bool // jobs that it needs and that are not known to be done
 	readyAt    time.Time
-	order      Order
+	priority   EffectivePriority
 	dependents map[string]*vertex
 }
 
 func newVertex(r *Record) *vertex {
 	v := &vertex{record: r, unfinished: map[string]bool{}, dependents: map[string]*vertex{}}
-	v.order = v.record.order()
+	v.priority = v.record.ownPriority()
 	for _, id := range r.Job.Dependencies {
 		v.unfinished[id] = true
 	}
 	return v
 }
 
-// order is the order that the job has by itself.
-func (r *Record) order() Order {
-	o := Order{Rank: r.Job.Priority.Rank()}
+// ownPriority is the ownPriority that the job has by itself.
+func (r *Record) ownPriority() EffectivePriority {
+	o := EffectivePriority{Rank: r.Job.Priority.Rank()}
 	if r.Job.DeadlineS != nil {
 		o.Due = time.UnixMilli(r.AcceptedMs).Add(seconds(*r.Job.DeadlineS))
 	}
@@ -65,10 +65,10 @@
 // startBy is by when the job has to start to be done when it is due; zero: it has
 // no deadline.
 func (v *vertex) startBy() time.Time {
-	if v.order.Due.IsZero() {
+	if v.priority.Due.IsZero() {
 		return time.Time{}
 	}
-	return v.order.Due.Add(-v.expected())
+	return v.priority.Due.Add(-v.expected())
 }
 
 // expected is about how long the job takes once it can start.
@@ -78,7 +78,7 @@
 
 // graph holds the dependencies of the active jobs. A job names only jobs that
 // were accepted before it, so it has no cycles. Work is done for what a change
-// reaches, and no deeper call comes of a longer chain. Its owner's lock guards it.
+// reaches, and no deeper call comes of a longer path. Its owner's lock guards it.
 type graph struct {
 	vertices map[string]*vertex
 	over     int // vertices of jobs that are done
@@ -86,7 +86,7 @@
 	waiting map[string]map[string]*vertex
 }
 
-// maxOver bounds the jobs that are kept after their end, for display: a chain that
+// maxOver bounds the jobs that are kept after their end, for display: a dependency path that
 // always goes on would keep all that ever came before.
 const maxOver = 10_000
 
@@ -101,7 +101,7 @@
 	g.vertices[id] = v
 	for dependent, d := range g.waiting[id] {
 		v.dependents[dependent] = d
-		v.order.take(d.order.Rank, d.startBy())
+		v.priority.raise(d.priority.Rank, d.startBy())
 	}
 	delete(g.waiting, id)
 	for _, need := range r.Job.Dependencies {
@@ -125,7 +125,7 @@
 		work = work[1:]
 		for _, need := range v.record.Job.Dependencies {
 			n := g.vertices[need]
-			if n == nil || n.over || !n.order.take(v.order.Rank, v.startBy()) {
+			if n == nil || n.over || !n.priority.raise(v.priority.Rank, v.startBy()) {
 				continue
 			}
 			changed = append(changed, need)
@@ -196,14 +196,14 @@
 		if v == nil || v.over {
 			continue
 		}
-		before := v.order
-		v.order = v.record.order()
+		before := v.priority
+		v.priority = v.record.ownPriority()
 		for _, d := range v.dependents {
 			if !d.over {
-				v.order.take(d.order.Rank, d.startBy())
+				v.priority.raise(d.priority.Rank, d.startBy())
 			}
 		}
-		if v.order == before {
+		if v.priority == before {
 			continue
 		}
 		changed = append(changed, id)
@@ -290,9 +290,9 @@
 	return slices.Sorted(maps.Keys(seen))
 }
 
-// standing tells what a job's place in its chain says of it.
-func (v *vertex) standing() Standing {
-	return Standing{Order: v.order, Ready: len(v.unfinished) == 0, ReadyAt: v.readyAt}
+// readiness tells what a job's place in its dependency graph says of it.
+func (v *vertex) readiness() Readiness {
+	return Readiness{EffectivePriority: v.priority, Ready: len(v.unfinished) == 0, ReadyAt: v.readyAt}
 }
 
 // lasts returns the active jobs that need others and that no active job needs.
--- a/internal/job/catalog.go
+++ b/internal/job/store.go
@@ -28,7 +28,7 @@
 	prefix       = "jobs/"
 	activePrefix = prefix + "active/"
 	finalPrefix  = prefix + "final/"
-	donePrefix   = "done/" // many jobs to a key, see DonePage
+	donePrefix   = "done/" // many jobs to a key, see DoneBucket
 )
 
 // ErrNotReady says that the records have not been read yet.
@@ -60,9 +60,9 @@
 	return "", false
 }
 
-// Final is the record of a job that is over. It keeps what the tasks take and
+// Outcome is the record of a job that is over. It keeps what the tasks take and
 // whose quota they use, since some may still be on machines.
-type Final struct {
+type Outcome struct {
 	State    wire.JobState `json:"state"`
 	Tasks    int           `json:"tasks"`
 	Team     string        `json:"team"`
@@ -74,20 +74,20 @@
 	EndedMs int64 `json:"ended_ms,omitempty"`
 }
 
-// Listener hears of jobs that come and go, in no lock of the catalog's.
+// Listener hears of jobs that come and go, in no lock of the store's.
 type Listener interface {
 	JobAdded(r *Record)
-	JobEnded(id string, f Final)
-	// StandingChanged tells of active jobs that have become ready, or whose order
+	JobEnded(id string, f Outcome)
+	// ReadinessChanged tells of active jobs that have become ready, or whose order
 	// has changed.
-	StandingChanged(ids []string)
+	ReadinessChanged(ids []string)
 }
 
 // maxFinals bounds the finals kept in memory; others are read when asked for.
 const maxFinals = 50_000
 
-// Catalog is this controller's view of all jobs.
-type Catalog struct {
+// Store is this controller's view of all jobs.
+type Store struct {
 	client        *state.Client
 	commit        *state.Committer
 	maxValue      int
@@ -98,7 +98,7 @@
 	loaded     chan struct{} // closed once the records have been read
 	revision   uint64
 	active     map[string]*Record
-	final      map[string]*ending
+	final      map[string]*outcomeEntry
 	progress   map[string]Progress
 	listener   Listener
 	replicator Replicator
@@ -109,9 +109,9 @@
 	cancelled  cancellationLog
 }
 
-// ending is how a job ended.
-type ending struct {
-	Final
+// outcomeEntry is how a job ended.
+type outcomeEntry struct {
+	Outcome
 	revision   uint64 // of the store, at which it ended
 	replicated bool   // a cancellation that users may be told of
 }
@@ -121,7 +121,7 @@
 	Done, Running int
 }
 
-// Options are what a Catalog needs.
+// Options are what a Store needs.
 type Options struct {
 	Client    *state.Client
 	Committer *state.Committer
@@ -132,18 +132,18 @@
 	Log           *slog.Logger
 }
 
-// NewCatalog makes an empty catalog; Run fills it.
-func NewCatalog(opts Options) *Catalog {
-	return &Catalog{
+// NewStore makes an empty store; Run fills it.
+func NewStore(opts Options) *Store {
+	return &Store{
 		client: opts.Client, commit: opts.Committer, maxValue: opts.MaxValue, acceptsChains: opts.AcceptsChains, log: opts.Log,
 		loaded: make(chan struct{}),
-		active: map[string]*Record{}, final: map[string]*ending{}, progress: map[string]Progress{},
+		active: map[string]*Record{}, final: map[string]*outcomeEntry{}, progress: map[string]Progress{},
 		graph: newGraph(), implied: map[string]*Record{}, unresolved: map[string]bool{}, toResolve: make(chan struct{}, 1),
 	}
 }
 
 // Ready tells whether the records have been read.
-func (c *Catalog) Ready() bool {
+func (c *Store) Ready() bool {
 	select {
 	case <-c.loaded:
 		return true
@@ -153,7 +153,7 @@
 }
 
 // Wait waits until the records have been read.
-func (c *Catalog) Wait(ctx context.Context) error {
+func (c *Store) Wait(ctx context.Context) error {
 	select {
 	case <-c.loaded:
 		return nil
@@ -163,35 +163,35 @@
 }
 
 // Listen tells l of every change from now on. A nil listener ends that.
-func (c *Catalog) Listen(l Listener) {
+func (c *Store) Listen(l Listener) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.listener = l
 }
 
 // SetReplicator sets who is told of cancellations before users are.
-func (c *Catalog) SetReplicator(r Replicator) {
+func (c *Store) SetReplicator(r Replicator) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.replicator = r
 }
 
 // Active returns an active job's record, nil if none is cached.
-func (c *Catalog) Active(id string) *Record {
+func (c *Store) Active(id string) *Record {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.active[id]
 }
 
 // AllActive returns the records of all active jobs.
-func (c *Catalog) AllActive() []*Record {
+func (c *Store) AllActive() []*Record {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Collect(maps.Values(c.active))
 }
 
 // Weights sums, by team, the CPUs that the active jobs' tasks take together.
-func (c *Catalog) Weights() map[string]float64 {
+func (c *Store) Weights() map[string]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	weights := map[string]float64{}
@@ -202,7 +202,7 @@
 }
 
 // SetProgress takes what to display of a job.
-func (c *Catalog) SetProgress(id string, p Progress) {
+func (c *Store) SetProgress(id string, p Progress) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if _, ok := c.active[id]; ok {
@@ -211,7 +211,7 @@
 }
 
 // Run reads all active jobs and follows their changes until ctx ends.
-func (c *Catalog) Run(ctx context.Context) error {
+func (c *Store) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return c.follow(ctx) })
 	g.Go(func() error { return c.runResolver(ctx) })
@@ -219,8 +219,8 @@
 	return g.Wait()
 }
 
-// follow keeps the catalog as the store is.
-func (c *Catalog) follow(ctx context.Context) error {
+// follow keeps the cache as the key-value store is.
+func (c *Store) follow(ctx context.Context) error {
 	fresh := false
 	for ctx.Err() == nil {
 		if !fresh {
@@ -249,7 +249,7 @@
 // retryPause is how long what has failed waits before it is tried again.
 func retryPause() time.Duration { return 100*time.Millisecond + rand.N(200*time.Millisecond) }
 
-func (c *Catalog) load(ctx context.Context) error {
+func (c *Store) load(ctx context.Context) error {
 	items, revision, err := c.client.List(ctx, state.Safety, activePrefix)
 	if err != nil {
 		return err
@@ -284,7 +284,7 @@
 	return nil
 }
 
-func (c *Catalog) apply(e wire.Event) {
+func (c *Store) apply(e wire.Event) {
 	switch {
 	case e.Put != "":
 		if id, ok := IsActive(e.Put); ok {
@@ -298,7 +298,7 @@
 			return
 		}
 		if len(e.Put) > len(finalPrefix) && e.Put[:len(finalPrefix)] == finalPrefix {
-			var f Final
+			var f Outcome
 			if err := json.Unmarshal(e.Value, &f); err != nil {
 				c.log.Error("job record unreadable", "key", e.Put, "err", err)
 				return
@@ -309,15 +309,15 @@
 	// A removed active key comes with a final one, in the same revision.
 }
 
-// news is what a change of the catalog means for its listener.
-type news struct {
+// changeSet is what a change of the store means for its listener.
+type changeSet struct {
 	added   *Record
-	ended   map[string]Final
-	changed []string // jobs whose standing has changed
+	ended   map[string]Outcome
+	changed []string // jobs whose readiness has changed
 }
 
-// tell hands news to the listener, in no lock.
-func (c *Catalog) tell(n news) {
+// notify hands a change set to the listener, in no lock.
+func (c *Store) notify(n changeSet) {
 	c.mu.Lock()
 	l := c.listener
 	c.mu.Unlock()
@@ -331,18 +331,18 @@
 		l.JobEnded(id, f)
 	}
 	if len(n.changed) > 0 {
-		l.StandingChanged(n.changed)
+		l.ReadinessChanged(n.changed)
 	}
 }
 
-func (c *Catalog) setActive(id string, r *Record) {
+func (c *Store) setActive(id string, r *Record) {
 	c.mu.Lock()
 	n := c.setActiveLocked(id, r)
 	c.mu.Unlock()
-	c.tell(n)
+	c.notify(n)
 }
 
-func (c *Catalog) setActiveLocked(id string, r *Record) (n news) {
+func (c *Store) setActiveLocked(id string, r *Record) (n changeSet) {
 	if c.final[id] != nil || c.active[id] != nil {
 		return n
 	}
@@ -367,14 +367,14 @@
 	return n
 }
 
-func (c *Catalog) setFinal(id string, f Final, revision uint64) {
+func (c *Store) setFinal(id string, f Outcome, revision uint64) {
 	c.mu.Lock()
 	n := c.setFinalLocked(id, f, revision)
 	c.mu.Unlock()
-	c.tell(n)
+	c.notify(n)
 }
 
-func (c *Catalog) setFinalLocked(id string, f Final, revision uint64) (n news) {
+func (c *Store) setFinalLocked(id string, f Outcome, revision uint64) (n changeSet) {
 	switch o := c.final[id]; {
 	case o == nil:
 	case c.implied[id] != nil:
@@ -384,22 +384,22 @@
 	default:
 		return n
 	}
-	c.keepFinalLocked(id, &ending{Final: f, revision: revision})
-	n.ended = map[string]Final{id: f}
+	c.keepFinalLocked(id, &outcomeEntry{Outcome: f, revision: revision})
+	n.ended = map[string]Outcome{id: f}
 	if f.State != wire.JobCancelled {
 		var ready []string
 		ready, n.changed = c.graph.done(id, time.UnixMilli(f.EndedMs))
 		n.changed = append(n.changed, ready...)
 		return n
 	}
-	c.cancelled.add(Cancellation{Job: id, Revision: revision, Final: f}, time.Now())
+	c.cancelled.add(Cancellation{Job: id, Revision: revision, Outcome: f}, time.Now())
 	maps.Copy(n.ended, c.implyAfterLocked(id))
 	n.changed = c.graph.remove(id)
 	return n
 }
 
 // keepFinalLocked keeps how a job ended, in place of its active record.
-func (c *Catalog) keepFinalLocked(id string, o *ending) {
+func (c *Store) keepFinalLocked(id string, o *outcomeEntry) {
 	if len(c.final) >= maxFinals {
 		for old := range c.final {
 			delete(c.final, old)
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -9,7 +9,7 @@
 // takeStandingLocked takes what the job's place in its chain says of it: whether
 // its tasks may start, since when its times count, and how urgent it is.
 func (s *Scheduler) takeStandingLocked(js *jobState) {
-	standing := s.opts.Jobs.Standing(js.rec)
+	standing := s.opts.Jobs.Readiness(js.rec)
 	js.ready, js.rank, js.due = standing.Ready, standing.Rank, standing.Due
 	js.begin = js.accepted
 	if standing.ReadyAt.After(js.begin) {
@@ -18,10 +18,10 @@
 }
 
 // rankOf is the priority under which a job's tasks run.
-func (s *Scheduler) rankOf(r *job.Record) int { return s.opts.Jobs.Standing(r).Rank }
+func (s *Scheduler) rankOf(r *job.Record) int { return s.opts.Jobs.Readiness(r).Rank }
 
 // StandingChanged implements job.Listener.
-func (s *Scheduler) StandingChanged(ids []string) {
+func (s *Scheduler) ReadinessChanged(ids []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ranks := map[string]int{}
--- a/internal/scheduler/done.go
+++ b/internal/scheduler/done.go
@@ -40,12 +40,12 @@
 
 // doneKey names the n-th page of done tasks of the share.
 func (s *Scheduler) doneKey(n uint64) string {
-	return job.DoneKey(s.opts.Node, s.div.Members[s.opts.Node].Since, n)
+	return job.DoneBucketKey(s.opts.Node, s.div.Members[s.opts.Node].Since, n)
 }
 
 // takeDonePageLocked takes over what an owner that has gone left, for the jobs
 // that are still active.
-func (s *Scheduler) takeDonePageLocked(written *job.DonePage) {
+func (s *Scheduler) takeDonePageLocked(written *job.DoneBucket) {
 	for _, page := range s.done.adopt(written, s.opts.Jobs.Active) {
 		for id, chunks := range page.jobs {
 			js := s.jobs[id]
@@ -106,7 +106,7 @@
 		if page.committing {
 			continue
 		}
-		page.put(js.rec.Job.ID, chunk, js.done.Chunk(chunk))
+		page.put(js.rec.Job.ID, chunk, js.done.Block(chunk))
 		if due[page] == nil {
 			due[page] = &donePageWrite{page: page}
 		}
@@ -129,7 +129,7 @@
 		write.Then = []wire.Change{{Delete: page.key}}
 		write = guard.Bind(write)
 	} else {
-		value, err := json.Marshal(job.DonePage{Jobs: page.jobs, Write: s.markLocked()})
+		value, err := json.Marshal(job.DoneBucket{Jobs: page.jobs, Write: s.markLocked()})
 		if err != nil {
 			s.log.Error("encoding done tasks", "key", page.key, "err", err)
 		}
--- a/internal/scheduler/donetable.go
+++ b/internal/scheduler/donetable.go
@@ -83,7 +83,7 @@
 
 // adopt takes over what an owner that has gone left, for the jobs that are still
 // active, and returns the pages that hold it from now on.
-func (t *doneTable) adopt(written *job.DonePage, active func(id string) *job.Record) []*donePage {
+func (t *doneTable) adopt(written *job.DoneBucket, active func(id string) *job.Record) []*donePage {
 	if t.pages[written.Key] != nil {
 		return nil
 	}
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -171,14 +171,14 @@
 }
 
 // JobEnded implements job.Listener.
-func (s *Scheduler) JobEnded(id string, f job.Final) {
+func (s *Scheduler) JobEnded(id string, f job.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.endLocked(id, f, time.Now().Add(s.opts.Settings.CancelIn*3/4))
 }
 
 // endLocked forgets a job that is over and stops its tasks.
-func (s *Scheduler) endLocked(id string, f job.Final, goneBy time.Time) {
+func (s *Scheduler) endLocked(id string, f job.Outcome, goneBy time.Time) {
 	js := s.jobs[id]
 	if js != nil {
 		s.log.Debug("job over", "job", id, "state", f.State, "after", time.Since(js.accepted))
@@ -196,14 +196,14 @@
 
 // endTasksLocked stops every task of a job that is over, also those whose
 // start may still be under way.
-func (s *Scheduler) endTasksLocked(id string, f job.Final, goneBy time.Time) {
+func (s *Scheduler) endTasksLocked(id string, f job.Outcome, goneBy time.Time) {
 	for _, m := range s.machines {
 		s.endTasksOnLocked(m, id, f, goneBy)
 	}
 	s.poke()
 }
 
-func (s *Scheduler) endTasksOnLocked(m *machine, id string, f job.Final, goneBy time.Time) {
+func (s *Scheduler) endTasksOnLocked(m *machine, id string, f job.Outcome, goneBy time.Time) {
 	if f.State == wire.JobDone {
 		goneBy = time.Time{} // nobody was told that its tasks are gone
 	}
--- a/internal/scheduler/lend.go
+++ b/internal/scheduler/lend.go
@@ -53,7 +53,7 @@
 	deniedFor = 10 * time.Minute
 )
 
-func sizeOf(f job.Final) placement.Resources {
+func sizeOf(f job.Outcome) placement.Resources {
 	return placement.Resources{CPUs: f.CPUs, GPUs: f.GPUs, MemoryGB: f.MemoryGB}
 }
 
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -58,7 +58,7 @@
 		js := s.addJobLocked(record)
 		for i := range r.done {
 			for chunk, bits := range r.done[i].Jobs[id] {
-				js.done.AddChunk(chunk, bits)
+				js.done.AddBlock(chunk, bits)
 			}
 		}
 	}
@@ -72,7 +72,7 @@
 	s.loaded = true
 	if s.div.Leader == s.opts.Node {
 		for i := range r.done {
-			if node, since, ok := job.DoneOwner(r.done[i].Key); !ok || s.div.Members[node].Since != since {
+			if node, since, ok := job.DoneBucketOwner(r.done[i].Key); !ok || s.div.Members[node].Since != since {
 				s.takeDonePageLocked(&r.done[i])
 			}
 		}
@@ -113,8 +113,8 @@
 // records is what the store holds of machines and done tasks.
 type records struct {
 	pages []recordPage
-	done  []job.DonePage
-	ended map[string]job.Final // jobs named on machines that are over
+	done  []job.DoneBucket
+	ended map[string]job.Outcome // jobs named on machines that are over
 }
 
 // recordPage is a key with machines' records, as read.
@@ -149,7 +149,7 @@
 	if r.done, err = s.opts.Jobs.ReadDone(ctx); err != nil {
 		return r, err
 	}
-	r.ended = map[string]job.Final{}
+	r.ended = map[string]job.Outcome{}
 	unknown := map[string]bool{}
 	for _, page := range r.pages {
 		for _, record := range page.Machines {
@@ -257,7 +257,7 @@
 }
 
 // lendRecordLocked takes in what another's machine may hold of own jobs.
-func (s *Scheduler) lendRecordLocked(fm *fleet.Machine, host string, ended map[string]job.Final, gained map[string]bool) {
+func (s *Scheduler) lendRecordLocked(fm *fleet.Machine, host string, ended map[string]job.Outcome, gained map[string]bool) {
 	for _, a := range fm.Attempts.All() {
 		if f, over := ended[a.Job]; over && s.div.OwnerOf(f.Team, a.Job) == s.opts.Node {
 			a.Team, a.Size, a.Sized = f.Team, sizeOf(f), true
@@ -271,7 +271,7 @@
 
 // adoptMachineLocked takes a machine with what the records say may be on it.
 // on are the pages that hold those: the first is its own from now on.
-func (s *Scheduler) adoptMachineLocked(fm *fleet.Machine, on []*page, ended map[string]job.Final, now time.Time) {
+func (s *Scheduler) adoptMachineLocked(fm *fleet.Machine, on []*page, ended map[string]job.Outcome, now time.Time) {
 	answered := s.answeredEarly[fm.Name]
 	m := s.addMachineLocked(fm, now)
 	m.LastAnswer = answered
@@ -280,7 +280,7 @@
 		m.page.machines[m.Name] = true
 	}
 	s.records.scatter(m, on...)
-	over := map[string]job.Final{}
+	over := map[string]job.Outcome{}
 	for _, a := range m.Attempts.All() {
 		if f, ok := ended[a.Job]; ok {
 			over[a.Job] = f
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -70,9 +70,9 @@
 	Active(id string) *job.Record
 	AllActive() []*job.Record
 	Over(id string) bool
-	Standing(r *job.Record) job.Standing
-	Resolve(ctx context.Context, id string) (f job.Final, over, found bool, err error)
-	ReadDone(ctx context.Context) ([]job.DonePage, error)
+	Readiness(r *job.Record) job.Readiness
+	Resolve(ctx context.Context, id string) (f job.Outcome, over, found bool, err error)
+	ReadDone(ctx context.Context) ([]job.DoneBucket, error)
 	Finish(ctx context.Context, r *job.Record, fence state.Fence) error
 	SetProgress(id string, p job.Progress)
 }
