--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -20,7 +20,7 @@
 // rankOf is the priority under which a job's tasks run.
 func (s *Scheduler) rankOf(r *job.Record) int { return s.opts.Jobs.Readiness(r).Rank }
 
-// StandingChanged implements job.Listener.
+// ReadinessChanged implements job.Listener.
 func (s *Scheduler) ReadinessChanged(ids []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
