--- a/cmd/heronwick/controller.go
+++ b/cmd/heronwick/controller.go
@@ -68,7 +68,7 @@
 	share     atomic.Pointer[scheduler.Scheduler]
 	spare     atomic.Pointer[spare]
 	told      atomic.Pointer[[]*peerpb.Progress] // progress
-	requests  scheduler.Requests
+	requests  scheduler.PlaceRequestHistory
 	cutAt     atomic.Int64 // when the share last could not reach most workers
 	chains    *chainWatch
 	duties    duties
@@ -189,7 +189,7 @@
 	}
 	s := scheduler.New(scheduler.Options{
 		Node: c.settings.Node, Settings: c.settings, Authority: membership, Workers: c.out.workers, Cloud: c.out.cloud, Actions: c.duties.actions,
-		Peers: peerShares(c.out.peers), Requests: &c.requests, Jobs: c.catalog, Records: c.client, Committer: c.committer, Types: c.offers.Types(),
+		Peers: peerShares(c.out.peers), PlaceRequests: &c.requests, Jobs: c.catalog, Records: c.client, Committer: c.committer, Types: c.offers.Types(),
 		Resign: c.members.Resign, Elsewhere: c.members.WorkersElsewhere, Latency: c.latency, Log: c.log,
 	})
 	c.share.Store(s)
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -24,8 +24,8 @@
 		return
 	}
 	a.Guest = false
-	if f := s.foreign[a.Key]; f != nil {
-		s.forgetLentLocked(f) // it was another's, and its machine is now ours
+	if f := s.remote[a.Key]; f != nil {
+		s.forgetRemoteLocked(f) // it was another's, and its machine is now ours
 	}
 	s.describe(a, &js.rec.Job, js.rank)
 	if a.Exited() {
--- a/internal/scheduler/division.go
+++ b/internal/scheduler/division.go
@@ -11,14 +11,15 @@
 	"heronwick/wire"
 )
 
-// division is who owns which jobs and machines, as this share goes by it. All
-// that it writes is fenced by condition, so that nothing decided under one
-// division is recorded under another.
-type division struct {
+// epochState is the epoch that the scheduler acts under: who leads and who
+// owns which jobs and machines. All that it writes is fenced by condition, a
+// compare-and-swap on the epoch's key, so that nothing decided under one epoch
+// is recorded under another.
+type epochState struct {
 	cluster.Epoch
 	condition wire.Condition
-	// since is the condition, and from the token, when this division began; the
-	// token may have been raised since, which divides nothing.
+	// since is the condition, and from the token, when this epoch began; the
+	// fencing token may have been raised since, which changes no owner.
 	since wire.Condition
 	from  uint64
 	at    time.Time // when the token last rose
@@ -30,14 +31,14 @@
 }
 
 func (s *Scheduler) mineLocked(j *wire.Job) bool {
-	return s.div.OwnerOf(j.Team, j.ID) == s.opts.Node
+	return s.epoch.OwnerOf(j.Team, j.ID) == s.opts.Node
 }
 
-func (s *Scheduler) leadsLocked() bool { return s.loaded && s.div.Leader == s.opts.Node }
+func (s *Scheduler) leadsLocked() bool { return s.loaded && s.epoch.Leader == s.opts.Node }
 
-// divideLocked follows the epoch and the owners of machines: what is ours now
+// followEpochLocked follows the epoch and the owners of machines: what is ours now
 // is rebuilt, what is no longer ours is let go.
-func (s *Scheduler) divideLocked() {
+func (s *Scheduler) followEpochLocked() {
 	if s.building {
 		return
 	}
@@ -46,12 +47,12 @@
 	if !fresh {
 		return // an owner's write of the epoch before may be missing; the watch brings it
 	}
-	if s.loaded && epoch.Token != s.div.Token && same(&epoch, &s.div.Epoch) {
+	if s.loaded && epoch.Token != s.epoch.Token && same(&epoch, &s.epoch.Epoch) {
 		// Only the token has risen.
-		if s.adopted == s.div.Token {
+		if s.adopted == s.epoch.Token {
 			s.adopted = epoch.Token
 		}
-		s.div.Epoch, s.div.condition, s.div.at = epoch, condition, time.Now()
+		s.epoch.Epoch, s.epoch.condition, s.epoch.at = epoch, condition, time.Now()
 	}
 	var adopt []string // machines that are ours, of whose tasks only the records tell
 	for name, o := range mine {
@@ -74,13 +75,13 @@
 	for _, r := range s.opts.Jobs.AllActive() {
 		switch {
 		case epoch.OwnerOf(r.Job.Team, r.Job.ID) != s.opts.Node || s.jobs[r.Job.ID] != nil:
-		case epoch.Token == s.div.Token && s.acceptedHereLocked(r):
+		case epoch.Token == s.epoch.Token && s.acceptedHereLocked(r):
 			s.addJobLocked(r) // that it was added is about to be told
 		default:
 			gained = append(gained, r)
 		}
 	}
-	if s.loaded && epoch.Token == s.div.Token && len(adopt) == 0 && len(gained) == 0 && s.adopted == epoch.Token {
+	if s.loaded && epoch.Token == s.epoch.Token && len(adopt) == 0 && len(gained) == 0 && s.adopted == epoch.Token {
 		return
 	}
 	s.building = true
@@ -91,23 +92,23 @@
 // division that the share goes by: nobody else can have placed tasks of it, so
 // the records need not be read for it.
 func (s *Scheduler) acceptedHereLocked(r *job.Record) bool {
-	return s.loaded && r.Version > s.div.since.Version
+	return s.loaded && r.Version > s.epoch.since.Version
 }
 
 // beginsToLeadLocked tells whether this controller leads the epoch, and did not
 // lead by the division before.
 func (s *Scheduler) beginsToLeadLocked(epoch *cluster.Epoch) bool {
-	return epoch.Leader == s.opts.Node && s.div.Leader != s.opts.Node
+	return epoch.Leader == s.opts.Node && s.epoch.Leader != s.opts.Node
 }
 
-func (s *Scheduler) takeDivisionLocked(epoch cluster.Epoch, condition wire.Condition) {
+func (s *Scheduler) takeEpochLocked(epoch cluster.Epoch, condition wire.Condition) {
 	if s.beginsToLeadLocked(&epoch) {
 		s.ledSince = time.Now()
 	}
-	if !s.loaded || !same(&epoch, &s.div.Epoch) {
-		s.div.since, s.div.from = condition, epoch.Token
+	if !s.loaded || !same(&epoch, &s.epoch.Epoch) {
+		s.epoch.since, s.epoch.from = condition, epoch.Token
 	}
-	s.div.Epoch, s.div.condition, s.div.at = epoch, condition, time.Now()
+	s.epoch.Epoch, s.epoch.condition, s.epoch.at = epoch, condition, time.Now()
 }
 
 // disownLocked lets go of jobs that now belong to others. Their tasks on the
@@ -138,9 +139,9 @@
 			}
 		}
 	}
-	for _, f := range s.foreign {
+	for _, f := range s.remote {
 		if lost[f.Job] {
-			s.forgetLentLocked(f)
+			s.forgetRemoteLocked(f)
 		}
 	}
 }
@@ -149,7 +150,7 @@
 // division in which their owner asked: it finds that they are not here.
 func (s *Scheduler) dropStaleGuestsLocked(m *machine) {
 	for _, a := range m.Attempts.All() {
-		if a.Guest && !a.Durable && a.Epoch < s.div.from {
+		if a.Guest && !a.Durable && a.Epoch < s.epoch.from {
 			m.Attempts.Delete(a.Key)
 		}
 	}
@@ -180,7 +181,7 @@
 	_, named := s.opts.Authority.OwnerOf(r.Machine)
 	if owned || named || !s.opts.Authority.Fresh() || !s.loaded || s.adopted != s.opts.Authority.Token() {
 		// Given a moment ago, or perhaps one with tasks whose owner has gone.
-		s.redivide()
+		s.recheckEpoch()
 		return nil, true
 	}
 	// A machine that the records do not name never had anything placed on it.
--- a/internal/scheduler/done.go
+++ b/internal/scheduler/done.go
@@ -40,7 +40,7 @@
 
 // doneKey names the n-th page of done tasks of the share.
 func (s *Scheduler) doneKey(n uint64) string {
-	return job.DoneBucketKey(s.opts.Node, s.div.Members[s.opts.Node].Since, n)
+	return job.DoneBucketKey(s.opts.Node, s.epoch.Members[s.opts.Node].Since, n)
 }
 
 // takeDonePageLocked takes over what an owner that has gone left, for the jobs
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -73,47 +73,47 @@
 	return max(probeTimeout, s.opts.Settings.ReportEvery/2)
 }
 
-// census tells how many workers were last heard since when, and of those that
-// fail to answer, how many were not. It is taken once for all that may be dead:
-// hundreds can fail at once.
-type census struct {
-	all   hearing
-	zones map[string]*hearing
+// heartbeatIndex tells how many workers have sent a heartbeat since a given
+// time, and of those that fail to answer probes, how many have not. It is made
+// once for all machines that may be dead: hundreds can fail at once.
+type heartbeatIndex struct {
+	all   heartbeatTimes
+	zones map[string]*heartbeatTimes
 }
 
-// hearing is when workers were last heard, of all and of those that fail, in
-// order.
-type hearing struct {
+// heartbeatTimes are the times of the workers' last heartbeats, sorted: of all
+// workers, and of those that fail to answer probes.
+type heartbeatTimes struct {
 	last, failing []time.Time
 }
 
-func (h *hearing) add(m *machine) {
+func (h *heartbeatTimes) add(m *machine) {
 	h.last = append(h.last, m.LastReport)
 	if m.failures > 0 {
 		h.failing = append(h.failing, m.LastReport)
 	}
 }
 
-func (h *hearing) sort() {
+func (h *heartbeatTimes) sort() {
 	slices.SortFunc(h.last, time.Time.Compare)
 	slices.SortFunc(h.failing, time.Time.Compare)
 }
 
 // since tells how many were heard after t, and how many of those that fail
 // were not.
-func (h *hearing) since(t time.Time) (heard, failed int) {
+func (h *heartbeatTimes) since(t time.Time) (heard, failed int) {
 	after := func(times []time.Time) int {
 		return sort.Search(len(times), func(i int) bool { return times[i].After(t) })
 	}
 	return len(h.last) - after(h.last), after(h.failing)
 }
 
-func (s *Scheduler) censusLocked() *census {
-	c := &census{zones: map[string]*hearing{}}
+func (s *Scheduler) heartbeatIndexLocked() *heartbeatIndex {
+	c := &heartbeatIndex{zones: map[string]*heartbeatTimes{}}
 	for _, m := range s.machines {
 		zone := c.zones[m.Zone]
 		if zone == nil {
-			zone = &hearing{}
+			zone = &heartbeatTimes{}
 			c.zones[m.Zone] = zone
 		}
 		c.all.add(m)
@@ -138,7 +138,7 @@
 // one after the other. Where most of a zone is silent and the others are not,
 // the zone is cut off: its machines are as they were when that ends, their
 // images included, so they are kept for as long as new ones would take to serve.
-func (s *Scheduler) dead(m *machine, c *census, now time.Time) bool {
+func (s *Scheduler) dead(m *machine, c *heartbeatIndex, now time.Time) bool {
 	allHeard, allFailed := c.all.since(m.failing)
 	allFailed-- // itself
 	if allHeard < min(len(s.machines)/2, 2*sampled) || allHeard < allFailed {
@@ -193,8 +193,9 @@
 // answer: enough to tell a cut, and no more work for a large fleet.
 const sampled = 12
 
-// survey is what one look at all machines goes by.
-type survey struct {
+// fleetHealth summarizes one look at all machines: the failure detector judges
+// each machine against it.
+type fleetHealth struct {
 	now time.Time
 	// cutOff: it is rather this controller that is cut off from its workers.
 	cutOff bool
@@ -202,14 +203,14 @@
 	reachable int
 	// fewUnreachable and fewNotReporting: so few workers are that each is judged by itself.
 	fewUnreachable, fewNotReporting bool
-	heard                           *census // made when first needed
+	index                           *heartbeatIndex // made when first needed
 }
 
 // few tells whether so few of the machines have something that it is theirs
 // rather than this controller's.
 func (s *Scheduler) few(count int) bool { return count <= max(2, len(s.machines)/3) }
 
-func (s *Scheduler) surveyLocked(now time.Time) *survey {
+func (s *Scheduler) fleetHealthLocked(now time.Time) *fleetHealth {
 	silent, unreachable, notReporting := 0, 0, 0
 	for _, m := range s.machines {
 		silent += boolInt(m.failures >= 2)
@@ -218,7 +219,7 @@
 	}
 	// Many at once: rather this controller is cut off than all of them dead, or
 	// it is so busy that it does not hear them, and the next leader would be too.
-	return &survey{now: now, cutOff: !s.few(silent) && !s.busy(), reachable: len(s.machines) - silent, fewUnreachable: s.few(unreachable), fewNotReporting: s.few(notReporting)}
+	return &fleetHealth{now: now, cutOff: !s.few(silent) && !s.busy(), reachable: len(s.machines) - silent, fewUnreachable: s.few(unreachable), fewNotReporting: s.few(notReporting)}
 }
 
 // watchMachinesLocked probes silent workers, settles what leases or returns
@@ -227,19 +228,19 @@
 	if !s.loaded || !s.permitted() {
 		return
 	}
-	survey := s.surveyLocked(now)
-	s.cut = survey.cutOff
-	s.resignIfCutLocked(survey)
+	health := s.fleetHealthLocked(now)
+	s.cut = health.cutOff
+	s.resignIfCutLocked(health)
 	raise := false
 	token := s.opts.Authority.Token()
 	back := map[string][]*machine{} // by why they are returned
 	for _, m := range s.machines {
 		s.probeIfSilentLocked(m, now)
 		s.lapseIfDueLocked(m, now)
-		if why := s.whyReturnLocked(m, survey); why != "" {
+		if why := s.whyReturnLocked(m, health); why != "" {
 			back[why] = append(back[why], m)
 		}
-		if !m.Notice.IsZero() || survey.fewNotReporting && s.stoppedReporting(m, now) {
+		if !m.Notice.IsZero() || health.fewNotReporting && s.stoppedReporting(m, now) {
 			s.drainLocked(m)
 		}
 		raise = raise || m.WantsToken(token) || s.keptByLeftoversLocked(m, now)
@@ -261,14 +262,14 @@
 // must have come there than this controller reaches. Where many machines are gone
 // for good, each leader otherwise resigned in turn, and none led for long enough
 // to find out.
-func (s *Scheduler) resignIfCutLocked(survey *survey) {
-	if !s.cut || !s.leadsLocked() || survey.now.Sub(s.resigned) <= resignAfter {
+func (s *Scheduler) resignIfCutLocked(health *fleetHealth) {
+	if !s.cut || !s.leadsLocked() || health.now.Sub(s.resigned) <= resignAfter {
 		return
 	}
 	elsewhere := s.opts.Elsewhere()
-	settled := survey.now.Sub(s.ledSince) > resignAfter && elsewhere > len(s.machines)/3
-	if settled || elsewhere > survey.reachable {
-		s.resigned = survey.now
+	settled := health.now.Sub(s.ledSince) > resignAfter && elsewhere > len(s.machines)/3
+	if settled || elsewhere > health.reachable {
+		s.resigned = health.now
 		s.goDo(s.opts.Resign)
 	}
 }
@@ -292,22 +293,22 @@
 }
 
 // whyReturnLocked tells why a machine is to be returned; "": it is not.
-func (s *Scheduler) whyReturnLocked(m *machine, survey *survey) string {
-	now := survey.now
+func (s *Scheduler) whyReturnLocked(m *machine, health *fleetHealth) string {
+	now := health.now
 	switch {
 	case m.returning:
 		return ""
 	case m.condemned:
 		return whyCondemned
-	case s.silentForLong(m, now) && s.countsAsLost(m, survey) && s.dead(m, s.heardLocked(survey), now):
+	case s.silentForLong(m, now) && s.countsAsLost(m, health) && s.dead(m, s.heartbeatIndexOfLocked(health), now):
 		return "lost"
 	case s.overdueLocked(m, now):
 		return whyOverdue
-	case survey.fewUnreachable && s.unreachableForGood(m, now):
+	case health.fewUnreachable && s.unreachableForGood(m, now):
 		return "nothing reaches it"
 	case m.suspect && m.Live() == 0:
 		return "set aside"
-	case survey.fewNotReporting && m.Live() == 0 && s.stoppedReportingForGood(m, now):
+	case health.fewNotReporting && m.Live() == 0 && s.stoppedReportingForGood(m, now):
 		return "it reaches nobody"
 	}
 	return ""
@@ -316,22 +317,22 @@
 // countsAsLost tells whether a silent worker may be judged by itself. While this
 // controller is rather cut off from many, their machines are kept for as long as new
 // ones would take to serve.
-func (s *Scheduler) countsAsLost(m *machine, survey *survey) bool {
-	return !survey.cutOff || survey.now.Sub(m.LastReport) > s.cutTimeout(m)
+func (s *Scheduler) countsAsLost(m *machine, health *fleetHealth) bool {
+	return !health.cutOff || health.now.Sub(m.LastReport) > s.cutTimeout(m)
 }
 
-// heardLocked returns the census of the survey.
-func (s *Scheduler) heardLocked(survey *survey) *census {
-	if survey.heard == nil {
-		survey.heard = s.censusLocked()
+// heartbeatIndexOfLocked returns the heartbeat index of health, made when first needed.
+func (s *Scheduler) heartbeatIndexOfLocked(health *fleetHealth) *heartbeatIndex {
+	if health.index == nil {
+		health.index = s.heartbeatIndexLocked()
 	}
-	return survey.heard
+	return health.index
 }
 
 // keptByLeftoversLocked tells whether exited attempts alone keep an idle machine
 // from being given or returned.
 func (s *Scheduler) keptByLeftoversLocked(m *machine, now time.Time) bool {
-	return m.Live() == 0 && m.Attempts.Len() > 0 && now.Sub(s.div.at) > 20*time.Second && now.Sub(m.idleSince) > 2*time.Second
+	return m.Live() == 0 && m.Attempts.Len() > 0 && now.Sub(s.epoch.at) > 20*time.Second && now.Sub(m.idleSince) > 2*time.Second
 }
 
 // raiseLocked raises the token, now and then.
--- a/internal/scheduler/giving.go
+++ b/internal/scheduler/giving.go
@@ -23,7 +23,7 @@
 		s.log.Error("a given machine is unreadable", "machine", name, "err", err)
 		return
 	}
-	t := s.addMachineLocked(fleet.FromRecord(name, r, s.div.Token, now), now)
+	t := s.addMachineLocked(fleet.FromRecord(name, r, s.epoch.Token, now), now)
 	// Its owner before answered its worker for the last time before it gave
 	// the machine, and under this token or an older one.
 	t.base, t.fence, t.LastAnswer, t.Reported = 0, 0, now, true
@@ -113,11 +113,11 @@
 				delete(s.moving, m.Name)
 				var conflict *state.Conflict
 				if (errors.As(err, &conflict) || err != nil && ctx.Err() == nil) &&
-					s.opts.Authority.HostOf(&s.div.Epoch, m.Name) == s.opts.Node && s.machines[m.Name] == nil {
+					s.opts.Authority.HostOf(&s.epoch.Epoch, m.Name) == s.opts.Node && s.machines[m.Name] == nil {
 					s.machines[m.Name] = m // not carried out: it is still ours
 				}
 			}
-			s.redivide()
+			s.recheckEpoch()
 		})
 	}
 }
@@ -153,14 +153,14 @@
 	if len(idle) <= keep {
 		return
 	}
-	if s.div.Leader != s.opts.Node {
-		if !s.opts.Authority.PeerLoads()[s.div.Leader].Overloaded {
-			s.giveLocked(idle[keep:], s.div.Leader)
+	if s.epoch.Leader != s.opts.Node {
+		if !s.opts.Authority.PeerLoads()[s.epoch.Leader].Overloaded {
+			s.giveLocked(idle[keep:], s.epoch.Leader)
 		}
 		return
 	}
 	var poor []string
-	for node := range s.div.Members {
+	for node := range s.epoch.Members {
 		if node != s.opts.Node && s.opts.Authority.Idle(node) == 0 && s.hasTeam(node) {
 			poor = append(poor, node)
 		}
@@ -177,7 +177,7 @@
 // hasTeam tells whether the member has jobs to place.
 func (s *Scheduler) hasTeam(node string) bool {
 	for _, r := range s.opts.Jobs.AllActive() {
-		if s.div.OwnerOf(r.Job.Team, r.Job.ID) == node {
+		if s.epoch.OwnerOf(r.Job.Team, r.Job.ID) == node {
 			return true
 		}
 	}
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -99,7 +99,7 @@
 	if s.mineLocked(&r.Job) && s.jobs[r.Job.ID] == nil {
 		if !s.acceptedHereLocked(r) {
 			// Its owner before may have placed it, which the records tell.
-			s.divided.Store(false)
+			s.epochChecked.Store(false)
 			return
 		}
 		s.addJobLocked(r)
@@ -225,7 +225,7 @@
 		a.Stop, a.GraceS, a.MustGoBy = true, 0, goneBy
 		if !a.Sized {
 			a.Team, a.Size, a.Sized = f.Team, placement.Resources{CPUs: f.CPUs, GPUs: f.GPUs, MemoryGB: f.MemoryGB}, true
-			if s.div.OwnerOf(f.Team, id) == s.opts.Node {
+			if s.epoch.OwnerOf(f.Team, id) == s.opts.Node {
 				s.countLocked(m.Zone, a)
 			}
 		}
@@ -259,7 +259,7 @@
 			}
 		}
 	}
-	for _, f := range s.foreign {
+	for _, f := range s.remote {
 		if f.State == wire.TaskRunning {
 			running[f.Job]++
 		}
--- a/internal/scheduler/lend.go
+++ b/internal/scheduler/lend.go
@@ -20,16 +20,18 @@
 // of the job decides on further attempts and records what is done; the owner
 // of the machine records what may be on it and commands its worker.
 
-// lent is an attempt of an own job that may be on a machine of another share.
-type lent struct {
+// remoteAttempt is an attempt of one of this scheduler's jobs that may be on a
+// machine of another controller.
+type remoteAttempt struct {
 	*fleet.Attempt
 	host  string
 	since uint64 // the host's membership; if that is over, the leader has its machines
 	asked bool   // the request is under way: asking about it would bar it
 }
 
-// asking is what is under way with one peer.
-type asking struct {
+// peerRequestState is the placement request under way with one peer, and when
+// the peer may be asked again.
+type peerRequestState struct {
 	busy bool
 	next time.Time // not again before then
 	// soonest: not even for a service that looks for room beside its image
@@ -37,8 +39,8 @@
 }
 
 const (
-	lendTimeout = time.Second
-	settleEvery = 400 * time.Millisecond
+	remotePlaceTimeout = time.Second
+	settleEvery        = 400 * time.Millisecond
 	// maxSettled bounds the attempts of one request: all of a large fleet in one
 	// would exceed what gRPC takes as a message, and hold the host's lock for long.
 	maxSettled = 8192
@@ -46,8 +48,8 @@
 	maxAsked = 48
 	// maxAskedPerJob bounds those of one job in it.
 	maxAskedPerJob = 16
-	// lendAgain is how soon a peer without room is asked again.
-	lendAgain = 400 * time.Millisecond
+	// retryPeerAfter is how soon a peer without room is asked again.
+	retryPeerAfter = 400 * time.Millisecond
 	// deniedFor is how long an attempt that was denied can not be taken; no
 	// request is under way for longer, and none survives its epoch.
 	deniedFor = 10 * time.Minute
@@ -57,26 +59,26 @@
 	return placement.Resources{CPUs: f.CPUs, GPUs: f.GPUs, MemoryGB: f.MemoryGB}
 }
 
-// lendTrackLocked counts an attempt that may be on another's machine.
-func (s *Scheduler) lendTrackLocked(a *fleet.Attempt, host, zone string) {
-	if s.foreign[a.Key] != nil {
+// trackRemoteLocked counts an attempt that may be on another's machine.
+func (s *Scheduler) trackRemoteLocked(a *fleet.Attempt, host, zone string) {
+	if s.remote[a.Key] != nil {
 		return
 	}
-	s.foreign[a.Key] = &lent{Attempt: a, host: host, since: s.div.Members[host].Since}
+	s.remote[a.Key] = &remoteAttempt{Attempt: a, host: host, since: s.epoch.Members[host].Since}
 	s.countLocked(zone, a)
 }
 
-// forgetLentLocked drops a lent attempt: it is surely gone, or not this
+// forgetRemoteLocked drops a lent attempt: it is surely gone, or not this
 // share's to count any more.
-func (s *Scheduler) forgetLentLocked(f *lent) {
-	delete(s.foreign, f.Key)
+func (s *Scheduler) forgetRemoteLocked(f *remoteAttempt) {
+	delete(s.remote, f.Key)
 	s.uncountLocked(f.Attempt)
 }
 
-// lendLocked asks the other shares for room for what waits: the leader first,
+// placeRemotelyLocked asks the other shares for room for what waits: the leader first,
 // which has the idle machines.
-func (s *Scheduler) lendLocked(now time.Time) {
-	if !s.loaded || !s.permitted() || len(s.div.Members) < 2 || !s.numbersLeftLocked(now) {
+func (s *Scheduler) placeRemotelyLocked(now time.Time) {
+	if !s.loaded || !s.permitted() || len(s.epoch.Members) < 2 || !s.numbersLeftLocked(now) {
 		return
 	}
 	var waiting []*jobState
@@ -92,9 +94,9 @@
 		return
 	}
 	s.sortQueueLocked(waiting, now)
-	nodes := []string{s.div.Leader}
-	for node := range s.div.Members {
-		if node != s.div.Leader {
+	nodes := []string{s.epoch.Leader}
+	for node := range s.epoch.Members {
+		if node != s.epoch.Leader {
 			nodes = append(nodes, node)
 		}
 	}
@@ -103,22 +105,22 @@
 		if node == s.opts.Node {
 			continue
 		}
-		ask := s.asking[node]
+		ask := s.peerRequests[node]
 		if ask == nil {
-			ask = &asking{}
-			s.asking[node] = ask
+			ask = &peerRequestState{}
+			s.peerRequests[node] = ask
 		}
 		if ask.busy || !held && now.Before(ask.next) || now.Before(ask.soonest) {
 			continue
 		}
-		s.askLocked(node, ask, waiting, now)
+		s.requestPlacementLocked(node, ask, waiting, now)
 	}
 }
 
-// askLocked asks one peer. The tasks count as lent before the request goes
+// requestPlacementLocked asks one peer. The tasks count as lent before the request goes
 // out: without an answer the peer may have taken them.
-func (s *Scheduler) askLocked(node string, ask *asking, waiting []*jobState, now time.Time) {
-	req := &peerpb.PlaceRequest{Node: s.opts.Node, Token: s.div.Token}
+func (s *Scheduler) requestPlacementLocked(node string, ask *peerRequestState, waiting []*jobState, now time.Time) {
+	req := &peerpb.PlaceRequest{Node: s.opts.Node, Token: s.epoch.Token}
 	asked := 0
 	for _, js := range waiting {
 		if asked >= maxAsked {
@@ -139,8 +141,8 @@
 			js.took()
 			js.asking++
 			a := s.newAttempt(js, index)
-			s.lendTrackLocked(a, node, "")
-			s.foreign[a.Key].asked = true
+			s.trackRemoteLocked(a, node, "")
+			s.remote[a.Key].asked = true
 			w.Attempts = append(w.Attempts, &peerpb.Attempt{Task: a.Task, Attempt: a.Attempt})
 			asked++
 		}
@@ -153,14 +155,14 @@
 	}
 	ask.busy = true
 	s.goDo(func(ctx context.Context) {
-		cctx, cancel := context.WithTimeout(ctx, lendTimeout)
+		cctx, cancel := context.WithTimeout(ctx, remotePlaceTimeout)
 		reply, err := s.opts.Peers.Place(cctx, node, req)
 		cancel()
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		ask.busy = false
 		now := time.Now()
-		ask.next, ask.soonest = now.Add(lendAgain), now.Add(100*time.Millisecond)
+		ask.next, ask.soonest = now.Add(retryPeerAfter), now.Add(100*time.Millisecond)
 		if err != nil {
 			s.log.Debug("asking for room failed", "peer", node, "err", err)
 			ask.next = now.Add(time.Second)
@@ -175,7 +177,7 @@
 				if js := s.jobs[w.Job]; js != nil {
 					js.asking--
 				}
-				f := s.foreign[key]
+				f := s.remote[key]
 				if f != nil {
 					f.asked = false
 				}
@@ -187,7 +189,7 @@
 					s.log.Debug("lent", "task", at.Task, "attempt", at.Attempt, "to", node)
 					continue
 				}
-				s.forgetLentLocked(f)
+				s.forgetRemoteLocked(f)
 			}
 		}
 		if len(taken) > 0 || reply.GetGiven() > 0 || reply.GetMaking() {
@@ -198,7 +200,7 @@
 }
 
 // moveZoneLocked notes in which zone a lent attempt is.
-func (s *Scheduler) moveZoneLocked(f *lent, zone string) {
+func (s *Scheduler) moveZoneLocked(f *remoteAttempt, zone string) {
 	if !f.Counted || f.Zone == zone {
 		return
 	}
@@ -215,10 +217,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reply := &peerpb.PlaceReply{}
-	if !s.opts.Requests.Newer(req) {
+	if !s.opts.PlaceRequests.Newer(req) {
 		return reply // a late copy: what it asks for may have been taken, ended and taken elsewhere since
 	}
-	if !s.loaded || !s.permitted() || req.Token > s.div.Token || req.Token < s.div.from || s.opts.Authority.Token() != s.div.Token {
+	if !s.loaded || !s.permitted() || req.Token > s.epoch.Token || req.Token < s.epoch.from || s.opts.Authority.Token() != s.epoch.Token {
 		return reply // not of one mind about who owns what
 	}
 	reply.Ready = true
@@ -234,18 +236,20 @@
 	return reply
 }
 
-// Requests remembers which requests for room have come, whatever they were
-// answered and whether there was a share: what was refused is placed elsewhere,
-// and a late copy must not be taken then (ran_twice). It lasts as long as the
-// process; requests to a former life are from before this one's membership.
-type Requests struct {
+// PlaceRequestHistory remembers, by peer, the newest attempt that a placement
+// request has named, however it was answered and whether a Scheduler was
+// running: what was refused is placed elsewhere, and a late copy must not be
+// taken then (ran_twice). It lasts as long as the process; requests to an
+// earlier incarnation are from before this one's membership. Its zero value
+// is ready to use and it is safe for concurrent use.
+type PlaceRequestHistory struct {
 	mu     sync.Mutex
 	newest map[string]uint64 // by peer, the newest attempt that it has asked about
 }
 
 // Newer tells whether all attempts that a peer asks about are newer than those
 // of its requests before: their numbers rise, and it asks once for each.
-func (r *Requests) Newer(req *peerpb.PlaceRequest) bool {
+func (r *PlaceRequestHistory) Newer(req *peerpb.PlaceRequest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	before := r.newest[req.Node]
@@ -269,7 +273,7 @@
 // given no machine as a whole.
 func (s *Scheduler) placeWantedLocked(from string, overloaded bool, w *peerpb.Wanted, reply *peerpb.PlaceReply, now time.Time) {
 	r := s.opts.Jobs.Active(w.Job)
-	if r == nil || s.div.OwnerOf(r.Job.Team, r.Job.ID) != from {
+	if r == nil || s.epoch.OwnerOf(r.Job.Team, r.Job.ID) != from {
 		return
 	}
 	g := s.guests[w.Job]
@@ -314,7 +318,7 @@
 			reply.Given += uint32(s.giveForLocked(g, m, from, int(w.Pending)-(len(w.Attempts)-left), now))
 			break
 		}
-		a := &fleet.Attempt{Key: key, Job: w.Job, Index: index, Guest: true, Epoch: s.div.Token}
+		a := &fleet.Attempt{Key: key, Job: w.Job, Index: index, Guest: true, Epoch: s.epoch.Token}
 		s.describe(a, &r.Job, g.rank)
 		m.Add(a, now)
 		m.looked = 0
@@ -351,16 +355,17 @@
 	return len(giving)
 }
 
-// hosted is an attempt and the machine that it is on.
-type hosted struct {
+// hostedAttempt is an attempt of another controller's job that runs here, and
+// the machine that it is on.
+type hostedAttempt struct {
 	machine *machine
 	attempt *fleet.Attempt
 }
 
-// hostedLocked finds the attempts that a request names. A peer asks about
+// hostedAttemptsLocked finds the attempts that a request names. A peer asks about
 // hundreds at once, of thousands that are here: their numbers alone, which only
 // a gang's tasks share, tell most of the others apart.
-func (s *Scheduler) hostedLocked(req *peerpb.SettleRequest) map[fleet.Key]hosted {
+func (s *Scheduler) hostedAttemptsLocked(req *peerpb.SettleRequest) map[fleet.Key]hostedAttempt {
 	numbers := make(map[uint64]bool, len(req.Attempts)+len(req.Handled))
 	for _, at := range req.Attempts {
 		numbers[at.Attempt] = true
@@ -368,11 +373,11 @@
 	for _, at := range req.Handled {
 		numbers[at.Attempt] = true
 	}
-	here := make(map[fleet.Key]hosted, len(numbers))
+	here := make(map[fleet.Key]hostedAttempt, len(numbers))
 	for _, m := range s.machines {
 		for _, a := range m.Attempts.All() {
 			if numbers[a.Attempt] {
-				here[a.Key] = hosted{m, a}
+				here[a.Key] = hostedAttempt{m, a}
 			}
 		}
 	}
@@ -386,12 +391,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reply := &peerpb.SettleReply{}
-	if !s.loaded || s.div.Token < req.Token || s.div.Members[s.opts.Node].Since != req.Since || s.div.Leader == s.opts.Node && s.adopted < req.Token {
+	if !s.loaded || s.epoch.Token < req.Token || s.epoch.Members[s.opts.Node].Since != req.Since || s.epoch.Leader == s.opts.Node && s.adopted < req.Token {
 		return reply
 	}
 	reply.Ready = true
 	now := time.Now()
-	here := s.hostedLocked(req)
+	here := s.hostedAttemptsLocked(req)
 	for _, at := range req.Handled {
 		if h := here[fleet.Key{Task: at.Task, Attempt: at.Attempt}]; h.attempt != nil && h.attempt.Exited() {
 			h.attempt.Handled = true
@@ -415,8 +420,8 @@
 	return reply
 }
 
-// runLent asks the hosts of lent attempts what became of them.
-func (s *Scheduler) runLent(ctx context.Context) error {
+// runRemote asks the hosts of lent attempts what became of them.
+func (s *Scheduler) runRemote(ctx context.Context) error {
 	return wait.Every(ctx, settleEvery, func() {
 		s.mu.Lock()
 		requests := s.settleRequestsLocked()
@@ -433,25 +438,25 @@
 // many requests as it takes.
 func (s *Scheduler) settleRequestsLocked() map[string][]*peerpb.SettleRequest {
 	requests := map[string][]*peerpb.SettleRequest{}
-	for key, f := range s.foreign {
+	for key, f := range s.remote {
 		if f.asked {
 			continue
 		}
-		if s.div.Members[f.host].Since != f.since {
+		if s.epoch.Members[f.host].Since != f.since {
 			// Also when the host is back: it knows nothing of what it had
 			// taken before, its machines' adopter does.
-			f.host, f.since = s.div.Leader, s.div.Members[s.div.Leader].Since
+			f.host, f.since = s.epoch.Leader, s.epoch.Members[s.epoch.Leader].Since
 		}
 		if f.host == s.opts.Node {
-			if s.loaded && s.adopted == s.div.Token {
+			if s.loaded && s.adopted == s.epoch.Token {
 				// Its machine was taken over here, without it.
-				s.forgetLentLocked(f)
+				s.forgetRemoteLocked(f)
 			}
 			continue
 		}
 		parts := requests[f.host]
 		if len(parts) == 0 || len(parts[len(parts)-1].Attempts)+len(parts[len(parts)-1].Handled) >= maxSettled {
-			parts = append(parts, &peerpb.SettleRequest{Node: s.opts.Node, Token: s.div.Token, Since: f.since})
+			parts = append(parts, &peerpb.SettleRequest{Node: s.opts.Node, Token: s.epoch.Token, Since: f.since})
 			requests[f.host] = parts
 		}
 		req := parts[len(parts)-1]
@@ -467,7 +472,7 @@
 }
 
 func (s *Scheduler) settle(ctx context.Context, node string, req *peerpb.SettleRequest) {
-	cctx, cancel := context.WithTimeout(ctx, lendTimeout)
+	cctx, cancel := context.WithTimeout(ctx, remotePlaceTimeout)
 	reply, err := s.opts.Peers.Settle(cctx, node, req)
 	cancel()
 	if err != nil || !reply.Ready {
@@ -478,18 +483,18 @@
 	defer s.mu.Unlock()
 	now := time.Now()
 	for _, at := range req.Handled {
-		if f := s.foreign[fleet.Key{Task: at.Task, Attempt: at.Attempt}]; f != nil {
-			s.forgetLentLocked(f)
+		if f := s.remote[fleet.Key{Task: at.Task, Attempt: at.Attempt}]; f != nil {
+			s.forgetRemoteLocked(f)
 		}
 	}
 	for _, h := range reply.Hosted {
-		f := s.foreign[fleet.Key{Task: h.Attempt.Task, Attempt: h.Attempt.Attempt}]
+		f := s.remote[fleet.Key{Task: h.Attempt.Task, Attempt: h.Attempt.Attempt}]
 		if f == nil || f.host != node || f.Exited() {
 			continue
 		}
 		if !h.Known {
 			s.log.Info("task lost", "task", f.Task, "attempt", f.Attempt.Attempt, "host", node)
-			s.forgetLentLocked(f)
+			s.forgetRemoteLocked(f)
 			continue
 		}
 		s.moveZoneLocked(f, h.Zone)
--- a/internal/scheduler/pages.go
+++ b/internal/scheduler/pages.go
@@ -61,12 +61,12 @@
 
 // pageKey names the n-th page of the share.
 func (s *Scheduler) pageKey(n uint64) string {
-	return fleet.PageKey(s.opts.Node, s.div.Members[s.opts.Node].Since, n)
+	return fleet.PageKey(s.opts.Node, s.epoch.Members[s.opts.Node].Since, n)
 }
 
 // journalKey names the n-th journal of the share.
 func (s *Scheduler) journalKey(n int) string {
-	return fleet.JournalKey(s.opts.Node, s.div.Members[s.opts.Node].Since, n)
+	return fleet.JournalKey(s.opts.Node, s.epoch.Members[s.opts.Node].Since, n)
 }
 
 // writing tells whether a record of the machine is on its way.
--- a/internal/scheduler/pagewrite.go
+++ b/internal/scheduler/pagewrite.go
@@ -86,7 +86,7 @@
 // markLocked returns what no other write bears.
 func (s *Scheduler) markLocked() string {
 	s.serial++ // any number that never comes again under this token
-	return fmt.Sprintf("%s-%d-%d", s.opts.Node, s.div.Token, s.serial)
+	return fmt.Sprintf("%s-%d-%d", s.opts.Node, s.epoch.Token, s.serial)
 }
 
 // writePageLocked writes a page, fenced by the epoch and by its own version. What
@@ -245,7 +245,7 @@
 
 // fenceLocked ties writes to the division that the share goes by.
 func (s *Scheduler) fenceLocked() state.Fence {
-	fence := s.div.condition
+	fence := s.epoch.condition
 	return state.Fence{Condition: fence, Current: func() bool {
 		_, condition := s.opts.Authority.CurrentEpoch()
 		return condition == fence
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -196,7 +196,7 @@
 
 // awaitHeldLocked tells whether the other shares are still to be asked.
 func (s *Scheduler) awaitHeldLocked(js *jobState, now time.Time) bool {
-	if js.rec.Job.Kind != wire.KindService || len(s.div.Members) < 2 {
+	if js.rec.Job.Kind != wire.KindService || len(s.epoch.Members) < 2 {
 		return false
 	}
 	if js.wantsHeld.IsZero() {
@@ -268,7 +268,7 @@
 // numbersLeftLocked makes sure that there are numbers for attempts under the
 // token, and returns false while there are not.
 func (s *Scheduler) numbersLeftLocked(now time.Time) bool {
-	left := s.numbers.left(s.div.Token)
+	left := s.numbers.left(s.epoch.Token)
 	if left < fewNumbersLeft {
 		s.raiseLocked(now)
 	}
@@ -277,7 +277,7 @@
 
 func (s *Scheduler) newAttempt(js *jobState, index int) *fleet.Attempt {
 	j := &js.rec.Job
-	a := &fleet.Attempt{Key: fleet.Key{Task: wire.TaskID(j.ID, index), Attempt: s.numbers.next(s.div.Token)}, Job: j.ID, Index: index}
+	a := &fleet.Attempt{Key: fleet.Key{Task: wire.TaskID(j.ID, index), Attempt: s.numbers.next(s.epoch.Token)}, Job: j.ID, Index: index}
 	s.describe(a, j, js.rank)
 	return a
 }
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -206,7 +206,7 @@
 
 // reservedFor is how long room kept for a guest waits for it; its owner asks again
 // every lendAgain.
-const reservedFor = 2 * lendAgain
+const reservedFor = 2 * retryPeerAfter
 
 // reserveLocked keeps free room for the tasks that a guest has asked for in
 // vain: on open machines first, then on idle ones.
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -33,7 +33,7 @@
 
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	defer s.redivide()
+	defer s.recheckEpoch()
 	s.building = false
 	if now, _ := s.opts.Authority.CurrentEpoch(); err != nil || ctx.Err() != nil || now.Token != epoch.Token {
 		// The next division starts over: what was read may be outdated.
@@ -43,7 +43,7 @@
 		return
 	}
 	s.disownLocked(&epoch) // what came meanwhile by the old division
-	s.takeDivisionLocked(epoch, condition)
+	s.takeEpochLocked(epoch, condition)
 	if first {
 		s.begun = condition.Version
 	}
@@ -67,12 +67,12 @@
 	s.adopted = epoch.Token
 	if first || len(gained)+adopted > 0 {
 		s.log.Info("share rebuilt", "token", epoch.Token, "jobs", len(s.jobs), "gained", len(isGained), "machines", len(s.machines),
-			"adopted", adopted, "lent", len(s.foreign))
+			"adopted", adopted, "lent", len(s.remote))
 	}
 	s.loaded = true
-	if s.div.Leader == s.opts.Node {
+	if s.epoch.Leader == s.opts.Node {
 		for i := range r.done {
-			if node, since, ok := job.DoneBucketOwner(r.done[i].Key); !ok || s.div.Members[node].Since != since {
+			if node, since, ok := job.DoneBucketOwner(r.done[i].Key); !ok || s.epoch.Members[node].Since != since {
 				s.takeDonePageLocked(&r.done[i])
 			}
 		}
@@ -88,7 +88,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name, t := range s.teams {
-		if (t.CPUsMax > 0 || t.GPUsMax > 0) && epoch.Teams[name] == s.opts.Node && s.div.Teams[name] != s.opts.Node {
+		if (t.CPUsMax > 0 || t.GPUsMax > 0) && epoch.Teams[name] == s.opts.Node && s.epoch.Teams[name] != s.opts.Node {
 			return true
 		}
 	}
@@ -102,7 +102,7 @@
 	for _, m := range s.machines {
 		for _, a := range m.Attempts.All() {
 			if !a.Counted && a.Sized && !a.Exited() && s.jobs[a.Job] == nil && s.opts.Jobs.Active(a.Job) == nil &&
-				s.div.OwnerOf(a.Team, a.Job) == s.opts.Node {
+				s.epoch.OwnerOf(a.Team, a.Job) == s.opts.Node {
 				a.Guest = false
 				s.countLocked(m.Zone, a)
 			}
@@ -207,15 +207,15 @@
 			// By this division, also while the next one begins: a machine that is
 			// ours only by that one, without the page that holds its record, had
 			// that record removed as nobody's (ran_twice).
-			host := s.opts.Authority.HostOf(&s.div.Epoch, name)
+			host := s.opts.Authority.HostOf(&s.epoch.Epoch, name)
 			switch {
 			case s.machines[name] != nil || s.isGoneLocked(name):
 			case host == s.opts.Node && s.moving[name]:
 			case host == s.opts.Node:
 				if m := found[name]; m != nil {
-					m.Recover(record, s.div.Token, now)
+					m.Recover(record, s.epoch.Token, now)
 				} else {
-					found[name] = fleet.FromRecord(name, record, s.div.Token, now)
+					found[name] = fleet.FromRecord(name, record, s.epoch.Token, now)
 				}
 				if p != nil {
 					on[name] = append(on[name], p)
@@ -224,7 +224,7 @@
 					}
 				}
 			default:
-				s.lendRecordLocked(fleet.FromRecord(name, record, s.div.Token, now), host, r.ended, gained)
+				s.lendRecordLocked(fleet.FromRecord(name, record, s.epoch.Token, now), host, r.ended, gained)
 			}
 		}
 	}
@@ -248,7 +248,7 @@
 		return nil
 	}
 	node, since, ok := fleet.PageOwner(rp.key)
-	if s.div.Leader != s.opts.Node || ok && s.div.Members[node].Since == since {
+	if s.epoch.Leader != s.opts.Node || ok && s.epoch.Members[node].Since == since {
 		return nil
 	}
 	p := &page{key: rp.key, version: rp.version, size: rp.size, machines: map[string]bool{}, untidy: true, written: time.Now(), leftover: map[string]fleet.Record{}}
@@ -259,12 +259,12 @@
 // lendRecordLocked takes in what another's machine may hold of own jobs.
 func (s *Scheduler) lendRecordLocked(fm *fleet.Machine, host string, ended map[string]job.Outcome, gained map[string]bool) {
 	for _, a := range fm.Attempts.All() {
-		if f, over := ended[a.Job]; over && s.div.OwnerOf(f.Team, a.Job) == s.opts.Node {
+		if f, over := ended[a.Job]; over && s.epoch.OwnerOf(f.Team, a.Job) == s.opts.Node {
 			a.Team, a.Size, a.Sized = f.Team, sizeOf(f), true
-			s.lendTrackLocked(a, host, fm.Zone)
+			s.trackRemoteLocked(a, host, fm.Zone)
 		} else if js := s.jobs[a.Job]; js != nil && gained[a.Job] {
 			s.describe(a, &js.rec.Job, js.rank)
-			s.lendTrackLocked(a, host, fm.Zone)
+			s.trackRemoteLocked(a, host, fm.Zone)
 		}
 	}
 }
--- a/internal/scheduler/rent.go
+++ b/internal/scheduler/rent.go
@@ -170,7 +170,7 @@
 		requests = append(requests, wire.RentRequest{
 			// Tokens are used once and the count only rises under one, so no
 			// request name ever comes again.
-			Request: fmt.Sprintf("heronwick-%s-%d-%d", s.opts.Node, s.div.Token, s.serial),
+			Request: fmt.Sprintf("heronwick-%s-%d-%d", s.opts.Node, s.epoch.Token, s.serial),
 			Type:    place.Type, Zone: place.Zone, Spot: place.Spot, Count: min(n, wire.MaxRent),
 		})
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -89,24 +89,24 @@
 	Commit(ctx context.Context, w state.Write) (uint64, error)
 }
 
-// Options configure a Scheduler. All fields but Latency are required.
+// Options configure a Scheduler.
 type Options struct {
-	Node      string
-	Settings  *config.Settings
-	Authority Authority
-	Workers   Workers
-	Cloud     Cloud
-	Actions   *duty.Actions
-	Peers     Peers
-	Requests  *Requests // for room, that have come
-	Jobs      Jobs
-	Records   Records
-	Committer Committer
-	Types     []wire.MachineType
-	Resign    func(ctx context.Context) // gives up leading
-	Elsewhere func() int                // workers that lately came to a peer instead
-	Latency   func() time.Duration      // how long goroutines lately waited for the processor; nil: not measured
-	Log       *slog.Logger
+	Node          string
+	Settings      *config.Settings
+	Authority     Authority
+	Workers       Workers
+	Cloud         Cloud
+	Actions       *duty.Actions
+	Peers         Peers
+	PlaceRequests *PlaceRequestHistory // for room, that have come
+	Jobs          Jobs
+	Records       Records
+	Committer     Committer
+	Types         []wire.MachineType
+	Resign        func(ctx context.Context) // gives up leading
+	Elsewhere     func() int                // workers that lately came to a peer instead
+	Latency       func() time.Duration      // how long goroutines lately waited for the processor; nil: not measured
+	Log           *slog.Logger
 }
 
 // machine is a machine that the scheduler owns, with its decisions about it.
@@ -159,28 +159,28 @@
 	types map[string]*wire.MachineType
 	teams map[string]config.Team
 	wake  chan struct{}
-	// divided is cleared when the epoch, an owner or a job may ask for another
+	// epochChecked is cleared when the epoch, an owner or a job may ask for another
 	// division: looking for that takes as long as the fleet is large.
-	divided atomic.Bool
-	summary atomic.Pointer[summary]
+	epochChecked atomic.Bool
+	summary      atomic.Pointer[summary]
 	// busyUntil is until when the loop's last long delay counts, in Unix nanoseconds.
 	busyUntil atomic.Int64
 	ctx       context.Context
 	group     *errgroup.Group
 
 	mu                sync.Mutex
-	div               division
+	epoch             epochState
 	loaded            bool
 	adopted           uint64 // under this epoch, machines without an owner have been taken
 	building          bool
-	begun             uint64               // version of the epoch when the scheduler began
-	answeredEarly     map[string]time.Time // reports answered before the records were read
-	unknownTasksSince map[string]time.Time // since when machines have had tasks of unknown jobs
-	jobs              map[string]*jobState // the scheduler's own
-	guests            map[string]*jobState // jobs of other controllers that have, or want, tasks here
-	foreign           map[fleet.Key]*lent  // tasks of own jobs that may be on others' machines
+	begun             uint64                       // version of the epoch when the scheduler began
+	answeredEarly     map[string]time.Time         // reports answered before the records were read
+	unknownTasksSince map[string]time.Time         // since when machines have had tasks of unknown jobs
+	jobs              map[string]*jobState         // the scheduler's own
+	guests            map[string]*jobState         // jobs of other controllers that have, or want, tasks here
+	remote            map[fleet.Key]*remoteAttempt // tasks of own jobs that may be on others' machines
 	denied            map[fleet.Key]time.Time
-	asking            map[string]*asking
+	peerRequests      map[string]*peerRequestState
 	machines          map[string]*machine
 	records           *recordTable
 	journaled         time.Time       // when one may next be written
@@ -224,8 +224,8 @@
 		answeredEarly: map[string]time.Time{}, unknownTasksSince: map[string]time.Time{}, jobs: map[string]*jobState{}, machines: map[string]*machine{},
 		used:   map[string]placement.Resources{},
 		supply: newSupply(), resolve: map[string]bool{},
-		guests: map[string]*jobState{}, foreign: map[fleet.Key]*lent{}, denied: map[fleet.Key]time.Time{},
-		asking: map[string]*asking{}, moving: map[string]bool{},
+		guests: map[string]*jobState{}, remote: map[fleet.Key]*remoteAttempt{}, denied: map[fleet.Key]time.Time{},
+		peerRequests: map[string]*peerRequestState{}, moving: map[string]bool{},
 	}
 	s.records = &recordTable{
 		pages: map[string]*page{}, scattered: map[*machine]bool{},
@@ -252,7 +252,7 @@
 	defer s.opts.Jobs.Listen(nil)
 	g.Go(func() error { return s.loop(ctx) })
 	g.Go(func() error { return s.runCloud(ctx) })
-	g.Go(func() error { return s.runLent(ctx) })
+	g.Go(func() error { return s.runRemote(ctx) })
 	return g.Wait()
 }
 
@@ -268,7 +268,7 @@
 	m := &machine{Machine: fm, failedJobs: map[string]bool{}, idleSince: now}
 	m.Type = s.types[m.TypeName]
 	m.LastReport, m.lastOwnReport = now, now
-	m.base, m.fence = s.div.Token, s.div.Token
+	m.base, m.fence = s.epoch.Token, s.epoch.Token
 	m.condemned = s.opts.Actions.Condemned(m.Name)
 	s.machines[m.Name] = m
 	delete(s.supply.booting, m.Name)
@@ -309,7 +309,7 @@
 
 // tick looks after machines, records and what others are told.
 func (s *Scheduler) tick(now time.Time) {
-	s.divided.Store(false) // in case that a change went unnoticed
+	s.epochChecked.Store(false) // in case that a change went unnoticed
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.regroupLocked(now)
@@ -340,12 +340,12 @@
 	began := time.Now()
 	s.mu.Lock()
 	locked := time.Now()
-	if !s.divided.Swap(true) {
-		s.divideLocked()
+	if !s.epochChecked.Swap(true) {
+		s.followEpochLocked()
 	}
 	s.scheduleLocked(time.Now())
 	s.commitLocked()
-	s.lendLocked(time.Now())
+	s.placeRemotelyLocked(time.Now())
 	s.mu.Unlock()
 	took = time.Since(began)
 	s.noteDelay(max(locked.Sub(began), time.Since(locked)))
@@ -369,11 +369,11 @@
 const passEvery = 10 * time.Millisecond
 
 // Changed tells the scheduler that the epoch or a machine's owner has changed.
-func (s *Scheduler) Changed() { s.redivide() }
+func (s *Scheduler) Changed() { s.recheckEpoch() }
 
-// redivide has the next pass look at who owns what.
-func (s *Scheduler) redivide() {
-	s.divided.Store(false)
+// recheckEpoch has the next pass look at who owns what.
+func (s *Scheduler) recheckEpoch() {
+	s.epochChecked.Store(false)
 	s.poke()
 }
 
