--- a/cmd/failovertest/processes.go
+++ b/cmd/failovertest/processes.go
@@ -84,13 +84,13 @@
 }
 
 // handler serves one controller.
-func (p *processes) handler(door *failovertest.Proxy) fasthttp.RequestHandler {
+func (p *processes) handler(proxy *failovertest.Proxy) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		if path := string(ctx.Path()); strings.HasPrefix(path, wire.PathMachines) {
-			p.machines(ctx, path, door)
+			p.machines(ctx, path, proxy)
 			return
 		}
-		status, reply, err := door.Do(p.ctx, string(ctx.Method()), string(ctx.RequestURI()), ctx.PostBody())
+		status, reply, err := proxy.Do(p.ctx, string(ctx.Method()), string(ctx.RequestURI()), ctx.PostBody())
 		if err != nil {
 			status = fasthttp.StatusServiceUnavailable
 		}
@@ -100,7 +100,7 @@
 }
 
 // machines answers a request to the machine service. One whose answer is lost gets 504.
-func (p *processes) machines(ctx *fasthttp.RequestCtx, path string, door *failovertest.Proxy) {
+func (p *processes) machines(ctx *fasthttp.RequestCtx, path string, proxy *failovertest.Proxy) {
 	var names wire.MachineNames
 	var request wire.RentRequest
 	var reply any = &names
@@ -108,13 +108,13 @@
 	switch {
 	case ctx.IsGet():
 		list := wire.MachineList{}
-		list.Machines, err = door.List(ctx)
+		list.Machines, err = proxy.List(ctx)
 		reply = list
 	case err != nil:
 	case path == wire.PathReturn:
-		err = door.Return(ctx, names.Machines)
+		err = proxy.Return(ctx, names.Machines)
 	default:
-		names.Machines, err = door.Rent(ctx, request)
+		names.Machines, err = proxy.Rent(ctx, request)
 	}
 	switch {
 	case errors.Is(err, cloud.ErrNoCapacity):
--- a/internal/failovertest/proxy.go
+++ b/internal/failovertest/proxy.go
@@ -42,7 +42,7 @@
 type Proxy struct {
 	checker *Checker
 	node    string
-	store   *standin.Path
+	store   *standin.Conn
 	freeze  func() // stops the controller itself
 
 	mu     sync.Mutex
@@ -53,8 +53,8 @@
 }
 
 // NewProxy makes the proxy of the controller called name; freeze stops the controller.
-func NewProxy(judge *Checker, name string, seed uint64, freeze func()) *Proxy {
-	return &Proxy{checker: judge, node: name, store: judge.state.Node(name), freeze: freeze, random: rand.New(rand.NewPCG(seed, 2))}
+func NewProxy(checker *Checker, name string, seed uint64, freeze func()) *Proxy {
+	return &Proxy{checker: checker, node: name, store: checker.state.Connect(name), freeze: freeze, random: rand.New(rand.NewPCG(seed, 2))}
 }
 
 // Arm freezes the controller when it next comes to a point.
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -56,11 +56,11 @@
 	f.returns = nil
 }
 
-// Asked tells how often each rental was asked for, by its request's name.
-func (f *Fleet) Asked() map[string]int {
+// RentRequests tells how often each rental was asked for, by its request's name.
+func (f *Fleet) RentRequests() map[string]int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return maps.Clone(f.asked)
+	return maps.Clone(f.rentRequests)
 }
 
 // stallFor is how long the cloud keeps a caller waiting while it stalls, whatever
@@ -110,7 +110,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.asked[req.Request]++
+	f.rentRequests[req.Request]++
 	if f.holding {
 		f.rentals = append(f.rentals, req)
 		return nil, cloud.ErrTrouble
