--- a/internal/fleet/attempts.go
+++ b/internal/fleet/attempts.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // Attempts holds what may be on one machine, in the order in which it came. A
-// machine has a handful, which each report and each pass looks through, so they
+// machine has a handful, which each heartbeat and each pass looks through, so they
 // are a slice rather than a map.
 type Attempts struct {
 	all []*Attempt
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -34,7 +34,7 @@
 	// keepSockets is the part of the sockets up to which connections to workers
 	// are kept for the next command.
 	keepSockets = 0.7
-	// spareSockets stay free for the state service, the cloud and the peers.
+	// spareSockets stay free for the key-value store, the cloud and the peers.
 	spareSockets = 0.05
 )
 
@@ -96,8 +96,8 @@
 	return c.Conn.Close()
 }
 
-// Command sends commands and returns the worker's report after them. A 409
-// carries a report too: nothing was executed.
+// Command sends commands and returns the worker's heartbeat after them. A 409
+// carries a heartbeat too: nothing was executed.
 func (c *Client) Command(ctx context.Context, address string, req *wire.CommandRequest) (*wire.Heartbeat, error) {
 	body, err := json.Marshal(req)
 	if err != nil {
@@ -106,7 +106,7 @@
 	return c.do(ctx, "POST", "http://"+address+wire.PathCommands, body)
 }
 
-// Status asks a worker for its report.
+// Status asks a worker for its heartbeat.
 func (c *Client) Status(ctx context.Context, address string) (*wire.Heartbeat, error) {
 	return c.do(ctx, "GET", "http://"+address+wire.PathStatus, nil)
 }
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -1,7 +1,7 @@
-// Package fleet knows the machines: their workers' sessions and reports, the
+// Package fleet knows the machines: their workers' incarnations and heartbeats, the
 // commands they are sent, and which attempts of tasks may be on each.
 //
-// A Machine has no lock: its share's lock guards it.
+// A Machine has no lock: its scheduler's lock guards it.
 package fleet
 
 import (
@@ -36,7 +36,7 @@
 	Why      wire.ExitReason
 	Durable  bool      // its record is in the store: the start may be sent
 	Journal  string    // the journal that alone holds that record; "": none does
-	Paged    bool      // its machine's page holds it
+	InBucket bool      // its machine's bucket holds it
 	Handled  bool      // it exited, and what follows from that is in the store
 	Stop     bool      // it is to be stopped
 	GraceS   float64   // for saving when stopped
@@ -44,32 +44,32 @@
 	Placed   time.Time // when it was placed, or found
 	Running  time.Time // when it was first seen running
 
-	// Recovered: taken from a record at a takeover and not yet seen. Its
-	// start is not repeated; the first report under the new token settles
+	// Restored: taken from a record at a takeover and not yet seen. Its
+	// start is not repeated; the first heartbeat under the new token settles
 	// whether it is there.
-	Recovered bool
+	Restored bool
 
-	// Counted: the share has it in its sums, for Zone.
+	// Counted: the scheduler has it in its sums, for Zone.
 	Counted bool
 	Zone    string
-	// Guest: its job belongs to another share, which asked under the epoch of
+	// Guest: its job belongs to another scheduler, which asked under the epoch of
 	// token Epoch to have it here.
 	Guest bool
 	Epoch uint64
 
-	session    uint64
-	shownIn    uint64 // number of the last report taken that showed it
-	replied    uint64 // Seq of the report whose reply last held its start
-	inReply    bool
-	direct     int    // direct commands with its start that are under way
-	doubt      uint64 // highest token of a direct start without answer
-	startToken uint64 // highest token of any direct start
+	incarnation     uint64
+	lastShownIn     uint64 // number of the last heartbeat taken that showed it
+	repliedSeq      uint64 // Seq of the heartbeat whose reply last held its start
+	startInReply    bool
+	directStarts    int    // direct commands with its start that are under way
+	unansweredToken uint64 // highest token of a direct start without answer
+	maxStartToken   uint64 // highest token of any direct start
 }
 
-// Exited tells whether a report has shown the attempt's end.
+// Exited tells whether a heartbeat has shown the attempt's end.
 func (a *Attempt) Exited() bool { return a.State == wire.TaskExited }
 
-// EventKind says what a report or a proof told of an attempt.
+// EventKind says what a heartbeat or a proof told of an attempt.
 type EventKind int
 
 // The kinds of event.
@@ -95,30 +95,30 @@
 	Zone     string
 	Spot     bool
 
-	Session    uint64
-	Seq        uint64
-	Token      uint64    // highest token that its worker is known to have seen
-	Reported   bool      // a report came, in this epoch
-	LastReport time.Time // when the newest report or answer came
-	LastAnswer time.Time // when a report was last answered by this controller
-	SessionAt  time.Time // when the session was first seen: its lease began no later
-	Notice     time.Time // when the cloud takes it away; zero: not known to
-	lapsed     uint64    // this session's lease has surely run out
-	reports    uint64    // reports taken
-
-	Attempts Attempts
-	Images   map[string]Held // what the machine has fetched, as far as known
+	Incarnation        uint64
+	Seq                uint64
+	FencingToken       uint64    // highest token that its worker is known to have seen
+	HeartbeatSeen      bool      // a heartbeat came, in this epoch
+	LastHeartbeat      time.Time // when the newest heartbeat or answer came
+	LastReply          time.Time // when a heartbeat was last answered by this controller
+	IncarnationSeenAt  time.Time // when the incarnation was first seen: its lease began no later
+	Notice             time.Time // when the cloud takes it away; zero: not known to
+	expiredIncarnation uint64    // this incarnation's lease has surely run out
+	heartbeats         uint64    // heartbeats taken
+
+	Attempts     Attempts
+	CachedImages map[string]CachedImage // what the machine has fetched, as far as known
 }
 
-// Held is an image on a machine.
-type Held struct {
+// CachedImage is an image on a machine.
+type CachedImage struct {
 	GB   float64
 	Used time.Time
 }
 
 // NewMachine makes a machine that nothing is known to be on.
 func NewMachine(name string) *Machine {
-	return &Machine{Name: name, Images: map[string]Held{}}
+	return &Machine{Name: name, CachedImages: map[string]CachedImage{}}
 }
 
 // Place returns where the machine stands and what it is.
@@ -148,8 +148,8 @@
 	return free
 }
 
-// Live counts the attempts that may be on the machine.
-func (m *Machine) Live() int {
+// ActiveCount counts the attempts that may be on the machine.
+func (m *Machine) ActiveCount() int {
 	n := 0
 	for _, a := range m.Attempts.All() {
 		if !a.Exited() {
@@ -159,43 +159,43 @@
 	return n
 }
 
-// Unsent tells whether no message has ever held the attempt's start.
-func (a *Attempt) Unsent() bool {
-	return a.State == "" && !a.Recovered && !a.inReply && a.direct == 0 && a.startToken == 0
+// NeverSent tells whether no message has ever held the attempt's start.
+func (a *Attempt) NeverSent() bool {
+	return a.State == "" && !a.Restored && !a.startInReply && a.directStarts == 0 && a.maxStartToken == 0
 }
 
 // Add books a new attempt. Nothing is sent before it is Durable.
 func (m *Machine) Add(a *Attempt, now time.Time) {
-	a.session, a.Placed = m.Session, now
+	a.incarnation, a.Placed = m.Incarnation, now
 	m.Attempts.Put(a)
 }
 
-// Apply takes a report, or the answer to a direct command. It returns false
+// ApplyHeartbeat takes a heartbeat, or the answer to a direct command. It returns false
 // for one that is older than what is known already, and for one that claims
-// a session whose lease has surely lapsed: it was under way for long. A worker
-// never shows a lower token than before: such a report is from before, maybe from
-// a former life of the machine, which had counted further (ran_twice).
-func (m *Machine) Apply(r *wire.Heartbeat, now time.Time) ([]Event, bool) {
-	if r.FencingToken < m.Token || r.Incarnation <= m.lapsed || r.Incarnation < m.Session || r.Incarnation == m.Session && r.Seq <= m.Seq {
+// a incarnation whose lease has surely expired: it was under way for long. A worker
+// never shows a lower token than before: such a heartbeat is from before, maybe from
+// an earlier incarnation of the machine, which had counted further (ran_twice).
+func (m *Machine) ApplyHeartbeat(r *wire.Heartbeat, now time.Time) ([]Event, bool) {
+	if r.FencingToken < m.FencingToken || r.Incarnation <= m.expiredIncarnation || r.Incarnation < m.Incarnation || r.Incarnation == m.Incarnation && r.Seq <= m.Seq {
 		return nil, false
 	}
 	var events []Event
-	if r.Incarnation > m.Session {
+	if r.Incarnation > m.Incarnation {
 		// The worker's lease ran out: it killed what it had.
-		events = m.lose(func(a *Attempt) bool { return a.session < r.Incarnation })
+		events = m.removeLost(func(a *Attempt) bool { return a.incarnation < r.Incarnation })
 	}
-	if r.Incarnation > m.Session {
-		m.SessionAt = now
+	if r.Incarnation > m.Incarnation {
+		m.IncarnationSeenAt = now
 	}
-	m.Session, m.Seq = r.Incarnation, r.Seq
-	m.Token = max(m.Token, r.FencingToken)
-	m.Reported, m.LastReport = true, now
+	m.Incarnation, m.Seq = r.Incarnation, r.Seq
+	m.FencingToken = max(m.FencingToken, r.FencingToken)
+	m.HeartbeatSeen, m.LastHeartbeat = true, now
 	m.Address, m.TypeName, m.Zone, m.Spot = r.Address, r.Type, r.Zone, r.Spot
 	m.Notice = time.Time{}
 	if r.NoticeS != nil {
 		m.Notice = now.Add(time.Duration(*r.NoticeS * float64(time.Second)))
 	}
-	m.reports++
+	m.heartbeats++
 	for _, t := range r.Tasks {
 		key := Key{t.Task, t.Attempt}
 		a := m.Attempts.Get(key)
@@ -204,7 +204,7 @@
 			if !ok {
 				continue
 			}
-			a = &Attempt{Key: key, Job: job, Index: index, Durable: true, session: r.Incarnation, Placed: now, State: t.State, Why: t.Reason, shownIn: m.reports}
+			a = &Attempt{Key: key, Job: job, Index: index, Durable: true, incarnation: r.Incarnation, Placed: now, State: t.State, Why: t.Reason, lastShownIn: m.heartbeats}
 			if t.State == wire.TaskRunning {
 				a.Running = now
 			}
@@ -212,7 +212,7 @@
 			events = append(events, Event{Found, a})
 			continue
 		}
-		a.shownIn = m.reports
+		a.lastShownIn = m.heartbeats
 		if a.Exited() {
 			continue
 		}
@@ -222,34 +222,34 @@
 			events = append(events, Event{Exited, a})
 		case t.State == wire.TaskRunning && a.Running.IsZero():
 			a.Running = now
-			m.hold(a, now)
+			m.noteImage(a, now)
 			events = append(events, Event{Started, a})
 		}
 	}
-	events = append(events, m.lose(func(a *Attempt) bool { return a.shownIn != m.reports && m.surelyAbsent(a) })...)
+	events = append(events, m.removeLost(func(a *Attempt) bool { return a.lastShownIn != m.heartbeats && m.surelyAbsent(a) })...)
 	return events, true
 }
 
-// surelyAbsent judges an attempt that the newest report does not show.
+// surelyAbsent judges an attempt that the newest heartbeat does not show.
 func (m *Machine) surelyAbsent(a *Attempt) bool {
 	if a.State != "" {
 		return true // it was there and is forgotten
 	}
-	if !a.Stop && !a.Recovered {
+	if !a.Stop && !a.Restored {
 		return false // its start goes out again
 	}
 	// A direct start without answer may still be carried out, for as long as
 	// its token is the highest that the worker has seen.
-	if a.direct > 0 || a.doubt > 0 && a.doubt >= m.Token {
+	if a.directStarts > 0 || a.unansweredToken > 0 && a.unansweredToken >= m.FencingToken {
 		return false
 	}
-	// A start in a reply is carried out before the next report or never.
-	return !a.inReply || m.Seq > a.replied
+	// A start in a reply is carried out before the next heartbeat or never.
+	return !a.startInReply || m.Seq > a.repliedSeq
 }
 
-// lose removes the attempts that match, and tells of those whose end was not
+// removeLost removes the attempts that match, and tells of those whose end was not
 // known.
-func (m *Machine) lose(match func(*Attempt) bool) []Event {
+func (m *Machine) removeLost(match func(*Attempt) bool) []Event {
 	var events []Event
 	for _, a := range m.Attempts.removeIf(match) {
 		if !a.Exited() {
@@ -259,51 +259,51 @@
 	return events
 }
 
-// Quiet tells whether nothing is on the machine and nothing can still come.
-func (m *Machine) Quiet() bool { return m.Attempts.Len() == 0 }
+// Idle tells whether nothing is on the machine and nothing can still come.
+func (m *Machine) Idle() bool { return m.Attempts.Len() == 0 }
 
-// Gone takes the proof that nothing is on the machine any more: it was
+// MarkReleased takes the proof that nothing is on the machine any more: it was
 // returned.
-func (m *Machine) Gone() []Event {
-	return m.lose(func(*Attempt) bool { return true })
+func (m *Machine) MarkReleased() []Event {
+	return m.removeLost(func(*Attempt) bool { return true })
 }
 
-// Lapsed takes the proof that the lease of the current session has run out.
-// A report of that session that comes later was under way for long, and what
+// MarkLeaseExpired takes the proof that the lease of the current incarnation has run out.
+// A heartbeat of that incarnation that comes later was under way for long, and what
 // it shows is no more.
-func (m *Machine) Lapsed() []Event {
-	m.lapsed = max(m.lapsed, m.Session)
-	return m.Gone()
+func (m *Machine) MarkLeaseExpired() []Event {
+	m.expiredIncarnation = max(m.expiredIncarnation, m.Incarnation)
+	return m.MarkReleased()
 }
 
-// hold notes that the machine has fetched an attempt's image, and forgets the
+// noteImage notes that the machine has fetched an attempt's image, and forgets the
 // least recently used ones beyond what it caches.
-func (m *Machine) hold(a *Attempt, now time.Time) {
+func (m *Machine) noteImage(a *Attempt, now time.Time) {
 	if a.Image == "" {
 		return
 	}
-	m.Images[a.Image] = Held{GB: a.ImageGB, Used: now}
+	m.CachedImages[a.Image] = CachedImage{GB: a.ImageGB, Used: now}
 	if m.Type == nil {
 		return
 	}
 	for {
 		sum, oldest := 0.0, ""
-		for name, h := range m.Images {
+		for name, h := range m.CachedImages {
 			sum += h.GB
-			if oldest == "" || h.Used.Before(m.Images[oldest].Used) {
+			if oldest == "" || h.Used.Before(m.CachedImages[oldest].Used) {
 				oldest = name
 			}
 		}
-		if sum <= m.Type.CacheGB || len(m.Images) <= 1 {
+		if sum <= m.Type.CacheGB || len(m.CachedImages) <= 1 {
 			return
 		}
-		delete(m.Images, oldest)
+		delete(m.CachedImages, oldest)
 	}
 }
 
-// HoldsImage tells whether the machine is known to have the image.
-func (m *Machine) HoldsImage(image string) bool {
-	_, ok := m.Images[image]
+// HasImage tells whether the machine is known to have the image.
+func (m *Machine) HasImage(image string) bool {
+	_, ok := m.CachedImages[image]
 	return ok
 }
 
@@ -311,10 +311,10 @@
 // has exited. A start of it that still arrives later would run it once more;
 // if it is done, the worker would only repeat its result.
 func (m *Machine) forgettable(a *Attempt) bool {
-	if !a.Exited() || !a.Handled || a.direct > 0 || a.doubt > 0 && a.doubt >= m.Token {
+	if !a.Exited() || !a.Handled || a.directStarts > 0 || a.unansweredToken > 0 && a.unansweredToken >= m.FencingToken {
 		return false
 	}
-	return a.Why == wire.ExitDone || a.startToken < m.Token
+	return a.Why == wire.ExitDone || a.maxStartToken < m.FencingToken
 }
 
 // commands lists what the worker should be told now: what makes room first.
@@ -334,7 +334,7 @@
 			grace := a.GraceS
 			c.Op, c.GraceS = wire.OpStop, &grace
 			stops = append(stops, c)
-		case a.State == "" && a.Durable && !a.Stop && !a.Recovered && a.session == m.Session:
+		case a.State == "" && a.Durable && !a.Stop && !a.Restored && a.incarnation == m.Incarnation:
 			c.Op = wire.OpStart
 			starts = append(starts, c)
 		}
@@ -343,7 +343,7 @@
 	return append(append(stops, forgets...), starts...)
 }
 
-// Reply returns the commands for the reply to the newest report.
+// Reply returns the commands for the reply to the newest heartbeat.
 func (m *Machine) Reply() []wire.Command {
 	commands := m.commands()
 	if len(commands) > wire.MaxCommands {
@@ -352,15 +352,15 @@
 	for _, c := range commands {
 		if c.Op == wire.OpStart {
 			a := m.Attempts.Get(Key{c.Task, c.Attempt})
-			a.inReply, a.replied = true, m.Seq
+			a.startInReply, a.repliedSeq = true, m.Seq
 		}
 	}
 	return commands
 }
 
-// Direct returns what to send straight to the worker, nil if there is
-// nothing. DirectDone must follow.
-func (m *Machine) Direct(token uint64) *wire.CommandRequest {
+// DirectRequest returns what to send straight to the worker, nil if there is
+// nothing. DirectRequestDone must follow.
+func (m *Machine) DirectRequest(token uint64) *wire.CommandRequest {
 	commands := m.commands()
 	if len(commands) == 0 {
 		return nil
@@ -371,41 +371,41 @@
 	for _, c := range commands {
 		if c.Op == wire.OpStart {
 			a := m.Attempts.Get(Key{c.Task, c.Attempt})
-			a.direct++
-			a.startToken = max(a.startToken, token)
+			a.directStarts++
+			a.maxStartToken = max(a.maxStartToken, token)
 		}
 	}
-	return &wire.CommandRequest{FencingToken: token, Incarnation: m.Session, Commands: commands}
+	return &wire.CommandRequest{FencingToken: token, Incarnation: m.Incarnation, Commands: commands}
 }
 
-// DirectDone ends what Direct began. Without an answer the commands may still
-// be carried out, while token and session match.
-func (m *Machine) DirectDone(req *wire.CommandRequest, answered bool) {
+// DirectRequestDone ends what DirectRequest began. Without an answer the commands may still
+// be carried out, while token and incarnation match.
+func (m *Machine) DirectRequestDone(req *wire.CommandRequest, answered bool) {
 	for _, c := range req.Commands {
 		a := m.Attempts.Get(Key{c.Task, c.Attempt})
 		if c.Op != wire.OpStart || a == nil {
 			continue
 		}
-		a.direct--
+		a.directStarts--
 		if !answered {
-			a.doubt = max(a.doubt, req.FencingToken)
+			a.unansweredToken = max(a.unansweredToken, req.FencingToken)
 		}
 	}
 }
 
-// maxLeftovers is how many exited attempts may stay in a worker's reports
+// maxLeftovers is how many exited attempts may stay in a worker's heartbeats
 // for want of a higher token.
 const maxLeftovers = 30
 
-// WantsToken tells whether something can only be settled once the worker has
+// NeedsHigherFencingToken tells whether something can only be settled once the worker has
 // seen a higher token than this one.
-func (m *Machine) WantsToken(token uint64) bool {
+func (m *Machine) NeedsHigherFencingToken(token uint64) bool {
 	leftovers := 0
 	for _, a := range m.Attempts.All() {
-		if a.doubt >= token && (a.Stop && a.State == "" || a.Exited()) {
+		if a.unansweredToken >= token && (a.Stop && a.State == "" || a.Exited()) {
 			return true
 		}
-		if a.Exited() && a.Handled && a.Why != wire.ExitDone && a.startToken >= token {
+		if a.Exited() && a.Handled && a.Why != wire.ExitDone && a.maxStartToken >= token {
 			leftovers++
 		}
 	}
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -59,7 +59,7 @@
 
 // silent tells whether the worker has been silent for so long that it is asked.
 func (s *Scheduler) silent(m *machine, now time.Time) bool {
-	silence := now.Sub(m.LastReport)
+	silence := now.Sub(m.LastHeartbeat)
 	// Whether it serves is only looked up of those that may be silent.
 	return silence > min(s.probeServingAfter(), s.silentAfter()) && silence > s.probeAfter(m)
 }
@@ -88,9 +88,9 @@
 }
 
 func (h *heartbeatTimes) add(m *machine) {
-	h.last = append(h.last, m.LastReport)
+	h.last = append(h.last, m.LastHeartbeat)
 	if m.failures > 0 {
-		h.failing = append(h.failing, m.LastReport)
+		h.failing = append(h.failing, m.LastHeartbeat)
 	}
 }
 
@@ -129,7 +129,7 @@
 // silentForLong tells whether the worker has answered neither a report's time
 // nor its probes.
 func (s *Scheduler) silentForLong(m *machine, now time.Time) bool {
-	return m.failures >= deadProbes && now.Sub(m.LastReport) > s.deadAfter()
+	return m.failures >= deadProbes && now.Sub(m.LastHeartbeat) > s.deadAfter()
 }
 
 // dead tells whether a worker that is silent for long counts as lost: most
@@ -147,7 +147,7 @@
 	heard, failed := c.zones[m.Zone].since(m.failing)
 	failed--
 	cut := failed > heard && allHeard-heard > allFailed-failed
-	return !cut || m.serves() || now.Sub(m.LastReport) > s.cutTimeout(m)
+	return !cut || m.serves() || now.Sub(m.LastHeartbeat) > s.cutTimeout(m)
 }
 
 // serves tells whether replicas may be on the machine.
@@ -164,13 +164,13 @@
 // for so long that it counts as lost: its lease lapses, since replies do not
 // reach it either, and what it is sent does not start.
 func (s *Scheduler) unreachableForGood(m *machine, now time.Time) bool {
-	return !m.unreachableSince.IsZero() && m.unansweredProbes >= deadProbes && !s.busy() && now.Sub(m.unreachableSince) > s.deadAfter()+deadProbes*probeTimeout && now.Sub(m.LastReport) <= s.silentAfter()
+	return !m.unreachableSince.IsZero() && m.unansweredProbes >= deadProbes && !s.busy() && now.Sub(m.unreachableSince) > s.deadAfter()+deadProbes*probeTimeout && now.Sub(m.LastHeartbeat) <= s.silentAfter()
 }
 
 // stoppedReporting tells whether a worker that answers direct messages has not reported for
 // most of a lease: it reaches no controller, so its lease lapses again and again.
 func (s *Scheduler) stoppedReporting(m *machine, now time.Time) bool {
-	return now.Sub(m.lastOwnReport) > s.opts.Settings.LeaseFor*3/4 && now.Sub(m.LastReport) <= s.silentAfter()
+	return now.Sub(m.lastOwnReport) > s.opts.Settings.LeaseFor*3/4 && now.Sub(m.LastHeartbeat) <= s.silentAfter()
 }
 
 // stoppedReportingForGood tells whether it has been so for so long that another machine is
@@ -243,7 +243,7 @@
 		if !m.Notice.IsZero() || health.fewNotReporting && s.stoppedReporting(m, now) {
 			s.drainLocked(m)
 		}
-		raise = raise || m.WantsToken(token) || s.keptByLeftoversLocked(m, now)
+		raise = raise || m.NeedsHigherFencingToken(token) || s.keptByLeftoversLocked(m, now)
 	}
 	for why, machines := range back {
 		s.returnLocked(machines, why)
@@ -283,12 +283,12 @@
 
 // lapseIfDueLocked takes the proof that a silent worker's lease has run out.
 func (s *Scheduler) lapseIfDueLocked(m *machine, now time.Time) {
-	if m.Live() == 0 || now.Sub(m.LastReport) <= s.silentAfter() {
+	if m.ActiveCount() == 0 || now.Sub(m.LastHeartbeat) <= s.silentAfter() {
 		return
 	}
 	if at, ok := s.lapseLocked(m); ok && !now.Before(at) {
-		s.log.Info("lease lapsed", "machine", m.Name, "tasks", m.Live())
-		s.handleLocked(m, m.Lapsed())
+		s.log.Info("lease lapsed", "machine", m.Name, "tasks", m.ActiveCount())
+		s.handleLocked(m, m.MarkLeaseExpired())
 	}
 }
 
@@ -306,9 +306,9 @@
 		return whyOverdue
 	case health.fewUnreachable && s.unreachableForGood(m, now):
 		return "nothing reaches it"
-	case m.suspect && m.Live() == 0:
+	case m.suspect && m.ActiveCount() == 0:
 		return "set aside"
-	case health.fewNotReporting && m.Live() == 0 && s.stoppedReportingForGood(m, now):
+	case health.fewNotReporting && m.ActiveCount() == 0 && s.stoppedReportingForGood(m, now):
 		return "it reaches nobody"
 	}
 	return ""
@@ -318,7 +318,7 @@
 // controller is rather cut off from many, their machines are kept for as long as new
 // ones would take to serve.
 func (s *Scheduler) countsAsLost(m *machine, health *fleetHealth) bool {
-	return !health.cutOff || health.now.Sub(m.LastReport) > s.cutTimeout(m)
+	return !health.cutOff || health.now.Sub(m.LastHeartbeat) > s.cutTimeout(m)
 }
 
 // heartbeatIndexOfLocked returns the heartbeat index of health, made when first needed.
@@ -332,7 +332,7 @@
 // keptByLeftoversLocked tells whether exited attempts alone keep an idle machine
 // from being given or returned.
 func (s *Scheduler) keptByLeftoversLocked(m *machine, now time.Time) bool {
-	return m.Live() == 0 && m.Attempts.Len() > 0 && now.Sub(s.epoch.at) > 20*time.Second && now.Sub(m.idleSince) > 2*time.Second
+	return m.ActiveCount() == 0 && m.Attempts.Len() > 0 && now.Sub(s.epoch.at) > 20*time.Second && now.Sub(m.idleSince) > 2*time.Second
 }
 
 // raiseLocked raises the token, now and then.
@@ -357,9 +357,9 @@
 // worker that reaches no controller starts session after session by itself, and
 // takes direct commands in each.
 func (s *Scheduler) lapseLocked(m *machine) (time.Time, bool) {
-	last := m.LastAnswer
-	if m.SessionAt.After(last) {
-		last = m.SessionAt
+	last := m.LastReply
+	if m.IncarnationSeenAt.After(last) {
+		last = m.IncarnationSeenAt
 	}
 	if m.fence > 0 {
 		fenced, ok := s.opts.Authority.FencedSince(m.fence)
@@ -398,7 +398,7 @@
 		return
 	}
 	m.probing, m.probed = true, now
-	address, session, seq := m.Address, m.Session, m.Seq
+	address, session, seq := m.Address, m.Incarnation, m.Seq
 	s.goDo(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 		report, err := s.opts.Workers.Status(ctx, address)
@@ -423,7 +423,7 @@
 			// the machine, without the tasks of the one before. Commands to
 			// that one may still come to this one, and what they start lasts
 			// for the lease with which this life began, so it is fenced.
-			m.SessionAt = time.Now()
+			m.IncarnationSeenAt = time.Now()
 			s.returnLocked([]*machine{m}, "its worker has started anew")
 			return
 		}
@@ -437,7 +437,7 @@
 func (s *Scheduler) probeSampleLocked(now time.Time) {
 	asked := map[string]int{}
 	for _, m := range s.machines {
-		if now.Sub(m.LastReport) > probeTimeout && now.Sub(m.probed) > probeTimeout && !m.probing && asked[m.Zone] < sampled && s.probeRate.Allow() {
+		if now.Sub(m.LastHeartbeat) > probeTimeout && now.Sub(m.probed) > probeTimeout && !m.probing && asked[m.Zone] < sampled && s.probeRate.Allow() {
 			asked[m.Zone]++
 			s.probeLocked(m, now)
 		}
--- a/internal/scheduler/giving.go
+++ b/internal/scheduler/giving.go
@@ -26,7 +26,7 @@
 	t := s.addMachineLocked(fleet.FromRecord(name, r, s.epoch.Token, now), now)
 	// Its owner before answered its worker for the last time before it gave
 	// the machine, and under this token or an older one.
-	t.base, t.fence, t.LastAnswer, t.Reported = 0, 0, now, true
+	t.base, t.fence, t.LastReply, t.HeartbeatSeen = 0, 0, now, true
 }
 
 // transfer makes node the owner of machines, or, with no node, tells that they
@@ -51,7 +51,7 @@
 // giveableLocked tells whether a machine can change to another share: idle,
 // and nothing that this share has sent can still come to it.
 func (s *Scheduler) giveableLocked(m *machine, now time.Time) bool {
-	return s.usableLocked(m, now) && m.Quiet() && !m.dirty && !m.sending && !m.probing
+	return s.usableLocked(m, now) && m.Idle() && !m.dirty && !m.sending && !m.probing
 }
 
 // giveableMachinesLocked returns the machines that can change to another share,
@@ -78,7 +78,7 @@
 		batch, about, size := []*machine{}, map[string]json.RawMessage{}, 0
 		for len(machines) > 0 {
 			m := machines[0]
-			handover := m.Handover()
+			handover := m.TransferRecord()
 			handover.KeepImages(s.valueLimit() / imagesPartOfTransfer)
 			value, err := json.Marshal(handover)
 			if err != nil {
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -217,7 +217,7 @@
 			continue
 		}
 		touched = true
-		if a.Unsent() {
+		if a.NeverSent() {
 			m.Attempts.Delete(a.Key)
 			s.uncountLocked(a)
 			continue
--- a/internal/scheduler/journals.go
+++ b/internal/scheduler/journals.go
@@ -83,7 +83,7 @@
 	}
 	pw := s.newPageWriteLocked(state.Placement)
 	pw.journal = true
-	content := fleet.Page{Machines: map[string]fleet.Record{}, Write: s.markLocked()}
+	content := fleet.RecordBucket{Machines: map[string]fleet.Record{}, Write: s.markLocked()}
 	size := 0
 	for m, r := range s.records.extracts(journal) {
 		content.Machines[m.Name] = r
@@ -106,7 +106,7 @@
 				continue
 			}
 			if !begun {
-				r, _ := m.Extract(journal.key, m.paged())
+				r, _ := m.JournalRecord(journal.key, m.paged())
 				r.Attempts = map[string]uint64{}
 				content.Machines[m.Name] = r
 			}
--- a/internal/scheduler/lend.go
+++ b/internal/scheduler/lend.go
@@ -327,7 +327,7 @@
 		g.zones[m.Zone]++
 		left--
 		reply.Taken = append(reply.Taken, &peerpb.Hosted{Attempt: at, Zone: m.Zone, Known: true})
-		s.log.Debug("placed", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "image_held", m.HoldsImage(a.Image), "for", from)
+		s.log.Debug("placed", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "image_held", m.HasImage(a.Image), "for", from)
 	}
 	if left > 0 && !w.Held {
 		g.asked, g.askedAt = int(w.Pending)-(len(w.Attempts)-left), now
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -44,7 +44,7 @@
 
 // goneLocked drops a machine that was returned.
 func (s *Scheduler) goneLocked(m *machine) {
-	s.handleLocked(m, m.Gone())
+	s.handleLocked(m, m.MarkReleased())
 	s.list.Close(m)
 	s.records.leave(m)
 	delete(s.machines, m.Name)
@@ -161,7 +161,7 @@
 	}
 	var idle []*machine
 	for _, m := range s.machines {
-		if m.returning || m.Live() > 0 || m.Attempts.Len() > 0 || m.dirty || m.writing() || !s.synced(m) {
+		if m.returning || m.ActiveCount() > 0 || m.Attempts.Len() > 0 || m.dirty || m.writing() || !s.synced(m) {
 			continue
 		}
 		idle = append(idle, m)
--- a/internal/scheduler/pages.go
+++ b/internal/scheduler/pages.go
@@ -61,7 +61,7 @@
 
 // pageKey names the n-th page of the share.
 func (s *Scheduler) pageKey(n uint64) string {
-	return fleet.PageKey(s.opts.Node, s.epoch.Members[s.opts.Node].Since, n)
+	return fleet.BucketKey(s.opts.Node, s.epoch.Members[s.opts.Node].Since, n)
 }
 
 // journalKey names the n-th journal of the share.
--- a/internal/scheduler/pagewrite.go
+++ b/internal/scheduler/pagewrite.go
@@ -73,7 +73,7 @@
 func (m *machine) paged() bool { return m.page != nil && m.page.version > 0 }
 
 // putPageLocked encodes a page and commits it.
-func (s *Scheduler) putPageLocked(pw *pageWrite, p *page, content fleet.Page) {
+func (s *Scheduler) putPageLocked(pw *pageWrite, p *page, content fleet.RecordBucket) {
 	value, err := json.Marshal(content)
 	if err != nil {
 		s.log.Error("encoding machines' records", "key", p.key, "err", err)
@@ -232,8 +232,8 @@
 }
 
 // contentLocked is what a page is to hold.
-func (s *Scheduler) contentLocked(p *page, pw *pageWrite) fleet.Page {
-	content := fleet.Page{Machines: make(map[string]fleet.Record, len(p.machines)), Write: s.markLocked()}
+func (s *Scheduler) contentLocked(p *page, pw *pageWrite) fleet.RecordBucket {
+	content := fleet.RecordBucket{Machines: make(map[string]fleet.Record, len(p.machines)), Write: s.markLocked()}
 	maps.Copy(content.Machines, p.leftover)
 	for name := range p.machines {
 		content.Machines[name] = s.recordLocked(s.machines[name], func(a *fleet.Attempt) bool {
@@ -307,9 +307,9 @@
 	}
 	for m, attempts := range pw.attempts {
 		for _, a := range attempts {
-			a.Durable, a.Paged = true, a.Paged || !pw.journal
+			a.Durable, a.InBucket = true, a.InBucket || !pw.journal
 			a.Journal = ""
-			if !a.Paged {
+			if !a.InBucket {
 				a.Journal = pw.page.key
 				pw.page.journaled[m] = true
 			}
@@ -319,7 +319,7 @@
 		}
 	}
 	for _, a := range pw.moved {
-		a.Journal, a.Paged = "", true
+		a.Journal, a.InBucket = "", true
 	}
 }
 
@@ -351,7 +351,7 @@
 func (s *Scheduler) dropUnsentLocked(pw *pageWrite, id string) {
 	for m := range pw.attempts {
 		for _, a := range m.Attempts.All() {
-			if a.Job == id && a.Unsent() {
+			if a.Job == id && a.NeverSent() {
 				m.Attempts.Delete(a.Key)
 				s.uncountLocked(a)
 			}
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -129,7 +129,7 @@
 		if s.list.Has(m) || s.machines[m.Name] != m || !s.fitsLocked(js, m, now) {
 			continue
 		}
-		if m.HoldsImage(js.rec.Job.Image) {
+		if m.HasImage(js.rec.Job.Image) {
 			return m
 		}
 		if first == nil {
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -127,7 +127,7 @@
 		return nil, js.service() && s.preemptLocked(js, now, true, guaranteed)
 	}
 	fits := s.fits(js, now)
-	holds := func(m *machine) bool { return fits(m) && m.HoldsImage(js.rec.Job.Image) }
+	holds := func(m *machine) bool { return fits(m) && m.HasImage(js.rec.Job.Image) }
 	service := js.rec.Job.Kind == wire.KindService
 	first := holds
 	if service {
@@ -136,7 +136,7 @@
 	if m, ok := s.list.Walk(first); ok {
 		return m, false
 	}
-	if idle := s.idleLocked(js, now); idle != nil && idle.HoldsImage(js.rec.Job.Image) {
+	if idle := s.idleLocked(js, now); idle != nil && idle.HasImage(js.rec.Job.Image) {
 		s.list.MoveToFront(idle)
 		return idle, false
 	}
@@ -224,7 +224,7 @@
 // acceptsLocked tells whether new tasks may go to the machine, if there is room.
 func (s *Scheduler) acceptsLocked(m *machine, now time.Time) bool {
 	return s.synced(m) && m.Type != nil && !m.returning && !m.condemned && !m.suspect && m.failures == 0 && m.unreachableSince.IsZero() &&
-		m.Notice.IsZero() && !now.Before(m.cooling) && now.Sub(m.LastReport) < s.silentAfter() && !s.stoppedReporting(m, now)
+		m.Notice.IsZero() && !now.Before(m.cooling) && now.Sub(m.LastHeartbeat) < s.silentAfter() && !s.stoppedReporting(m, now)
 }
 
 // usableLocked tells whether new tasks may go to the machine at all.
@@ -261,7 +261,7 @@
 	m.looked = 0
 	s.countLocked(m.Zone, a)
 	m.dirty = true
-	s.log.Debug("placed", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "image_held", m.HoldsImage(a.Image))
+	s.log.Debug("placed", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "image_held", m.HasImage(a.Image))
 	return a
 }
 
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -35,7 +35,7 @@
 	}
 	var best *choice
 	for _, m := range s.machines {
-		if held && !m.HoldsImage(js.rec.Job.Image) || !s.usableLocked(m, now) || !s.allowedLocked(js, m) {
+		if held && !m.HasImage(js.rec.Job.Image) || !s.usableLocked(m, now) || !s.allowedLocked(js, m) {
 			continue
 		}
 		var may []*fleet.Attempt
@@ -50,7 +50,7 @@
 		slices.SortFunc(may, func(a, b *fleet.Attempt) int { return cmp.Compare(s.lossOf(a, now), s.lossOf(b, now)) })
 		room := m.Free()
 		c := choice{m: m}
-		if !m.HoldsImage(js.rec.Job.Image) {
+		if !m.HasImage(js.rec.Job.Image) {
 			c.cost += 10
 		}
 		for _, a := range may {
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -219,7 +219,7 @@
 		return
 	}
 	keep := func(m *machine) {
-		for wants > 0 && (!held || m.HoldsImage(g.rec.Job.Image)) && s.fitsLocked(g, m, now) && g.size.Within(s.roomLocked(m, "", now)) {
+		for wants > 0 && (!held || m.HasImage(g.rec.Job.Image)) && s.fitsLocked(g, m, now) && g.size.Within(s.roomLocked(m, "", now)) {
 			m.reservations = append(m.reservations, reservation{job: id, size: g.size, until: now.Add(reservedFor)})
 			kept[id]++
 			wants--
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -119,7 +119,7 @@
 
 // recordPage is a key with machines' records, as read.
 type recordPage struct {
-	fleet.Page
+	fleet.RecordBucket
 	key     string
 	version uint64
 	size    int
@@ -135,11 +135,11 @@
 	}
 	newest := map[string]uint64{}
 	for _, item := range items {
-		page, err := fleet.ReadPage(item.Key, item.Value)
+		page, err := fleet.ReadBucket(item.Key, item.Value)
 		if err != nil {
 			return r, err
 		}
-		r.pages = append(r.pages, recordPage{Page: page, key: item.Key, version: item.Version, size: len(item.Value)})
+		r.pages = append(r.pages, recordPage{RecordBucket: page, key: item.Key, version: item.Version, size: len(item.Value)})
 		for _, record := range page.Machines {
 			for task, attempt := range record.Attempts {
 				newest[task] = max(newest[task], attempt)
@@ -213,7 +213,7 @@
 			case host == s.opts.Node && s.moving[name]:
 			case host == s.opts.Node:
 				if m := found[name]; m != nil {
-					m.Recover(record, s.epoch.Token, now)
+					m.Restore(record, s.epoch.Token, now)
 				} else {
 					found[name] = fleet.FromRecord(name, record, s.epoch.Token, now)
 				}
@@ -247,7 +247,7 @@
 	if s.records.pages[rp.key] != nil {
 		return nil
 	}
-	node, since, ok := fleet.PageOwner(rp.key)
+	node, since, ok := fleet.BucketOwner(rp.key)
 	if s.epoch.Leader != s.opts.Node || ok && s.epoch.Members[node].Since == since {
 		return nil
 	}
@@ -274,7 +274,7 @@
 func (s *Scheduler) adoptMachineLocked(fm *fleet.Machine, on []*page, ended map[string]job.Outcome, now time.Time) {
 	answered := s.answeredEarly[fm.Name]
 	m := s.addMachineLocked(fm, now)
-	m.LastAnswer = answered
+	m.LastReply = answered
 	if len(on) > 0 && !fleet.IsJournal(on[0].key) {
 		m.page, on = on[0], on[1:]
 		m.page.machines[m.Name] = true
--- a/internal/scheduler/recordtable.go
+++ b/internal/scheduler/recordtable.go
@@ -187,7 +187,7 @@
 func (t *recordTable) extracts(journal *page) map[*machine]fleet.Record {
 	extracts := make(map[*machine]fleet.Record, len(journal.journaled))
 	for m := range journal.journaled {
-		r, ok := m.Extract(journal.key, m.paged())
+		r, ok := m.JournalRecord(journal.key, m.paged())
 		if !ok || !t.owns(m) {
 			delete(journal.journaled, m)
 			continue
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -57,7 +57,7 @@
 	if s.doubtfulLocked(r, now) {
 		return nil
 	}
-	m.LastAnswer = now
+	m.LastReply = now
 	m.noteOwnReport(r, fresh, now)
 	if !fresh {
 		// Late or repeated: its reply will be dropped, and must not carry
@@ -77,7 +77,7 @@
 // which none counts would be taken for one that reaches no controller. A copy of one
 // that has come before does not count.
 func (m *machine) noteOwnReport(r *wire.Heartbeat, fresh bool, now time.Time) {
-	if fresh || r.Incarnation == m.Session && r.Seq > m.lastOwnReportSeq {
+	if fresh || r.Incarnation == m.Incarnation && r.Seq > m.lastOwnReportSeq {
 		m.lastOwnReport, m.lastOwnReportSeq = now, r.Seq
 	}
 }
@@ -136,7 +136,7 @@
 		return false
 	}
 	now := time.Now()
-	events, fresh := m.Apply(r, now)
+	events, fresh := m.ApplyHeartbeat(r, now)
 	if !fresh {
 		return false
 	}
@@ -167,7 +167,7 @@
 
 // synced tells whether the machine's report under its owner's token has come:
 // then its record is settled.
-func (s *Scheduler) synced(m *machine) bool { return m.Reported && m.Token >= m.base }
+func (s *Scheduler) synced(m *machine) bool { return m.HeartbeatSeen && m.FencingToken >= m.base }
 
 // handleLocked draws the consequences of what a report or a proof told.
 func (s *Scheduler) handleLocked(m *machine, events []fleet.Event) {
@@ -188,7 +188,7 @@
 			s.exitedLocked(m, a)
 		case fleet.Lost:
 			log := s.log.Info
-			if a.Recovered {
+			if a.Restored {
 				log = s.log.Debug // most of those had ended before the takeover
 			}
 			log("task lost", "task", a.Task, "attempt", a.Attempt, "machine", m.Name)
@@ -200,7 +200,7 @@
 
 // closeIfEmptyLocked takes a machine whose last task has ended off the list.
 func (s *Scheduler) closeIfEmptyLocked(m *machine) {
-	if m.Live() > 0 {
+	if m.ActiveCount() > 0 {
 		if !s.list.Has(m) {
 			s.list.Append(m)
 		}
@@ -231,10 +231,10 @@
 		return
 	}
 	token, permitted := s.opts.Authority.FencingToken()
-	if m.Address == "" || !m.Reported || !permitted {
+	if m.Address == "" || !m.HeartbeatSeen || !permitted {
 		return
 	}
-	req := m.Direct(token)
+	req := m.DirectRequest(token)
 	if req == nil {
 		return
 	}
@@ -245,7 +245,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		m.sending = false
-		m.DirectDone(req, err == nil || errors.Is(err, fleet.ErrNoSocket))
+		m.DirectRequestDone(req, err == nil || errors.Is(err, fleet.ErrNoSocket))
 		if !s.answeredLocked(m, err) {
 			m.sendAgain = false
 			return
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -267,7 +267,7 @@
 func (s *Scheduler) addMachineLocked(fm *fleet.Machine, now time.Time) *machine {
 	m := &machine{Machine: fm, failedJobs: map[string]bool{}, idleSince: now}
 	m.Type = s.types[m.TypeName]
-	m.LastReport, m.lastOwnReport = now, now
+	m.LastHeartbeat, m.lastOwnReport = now, now
 	m.base, m.fence = s.epoch.Token, s.epoch.Token
 	m.condemned = s.opts.Actions.Condemned(m.Name)
 	s.machines[m.Name] = m
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -11,7 +11,7 @@
 func (s *Scheduler) logLoadLocked(now time.Time) {
 	usable, open, tasks, waiting, notReady := 0, 0, 0, 0, 0
 	for _, m := range s.machines {
-		tasks += m.Live()
+		tasks += m.ActiveCount()
 		if s.list.Has(m) {
 			open++
 		}
@@ -40,7 +40,7 @@
 			continue
 		}
 		total, free = total.Plus(placement.Capacity(m.Type)), free.Plus(m.Free())
-		if m.Live() == 0 {
+		if m.ActiveCount() == 0 {
 			idle++
 		}
 	}
--- a/internal/scheduler/takeover.go
+++ b/internal/scheduler/takeover.go
@@ -62,7 +62,7 @@
 		m.probing = true
 		s.syncing++
 		address := m.Address
-		req := &wire.CommandRequest{FencingToken: s.opts.Authority.Token(), Incarnation: m.Session, Commands: []wire.Command{}}
+		req := &wire.CommandRequest{FencingToken: s.opts.Authority.Token(), Incarnation: m.Incarnation, Commands: []wire.Command{}}
 		s.goDo(func(ctx context.Context) {
 			report, err := s.command(ctx, address, req)
 			s.mu.Lock()
