--- a/cmd/heronwick/controller.go
+++ b/cmd/heronwick/controller.go
@@ -322,7 +322,7 @@
 // does.
 func (c *controller) checkin(r *wire.Heartbeat) (*wire.HeartbeatReply, string) {
 	if s := c.share.Load(); s != nil {
-		if reply := s.Checkin(r); reply != nil {
+		if reply := s.HandleHeartbeat(r); reply != nil {
 			return reply, ""
 		}
 	}
--- a/internal/scheduler/division.go
+++ b/internal/scheduler/epoch.go
@@ -61,7 +61,7 @@
 		case o.Machine == nil || !s.loaded || o.Version <= s.begun:
 			adopt = append(adopt, name) // it may have had tasks since that was written
 		default:
-			s.takeLocked(name, o)
+			s.takeHandedOverLocked(name, o)
 		}
 	}
 	if epoch.Leader == s.opts.Node {
--- a/internal/scheduler/giving.go
+++ b/internal/scheduler/handover.go
@@ -14,13 +14,13 @@
 	"heronwick/wire"
 )
 
-// takeLocked takes a machine that another share has given: nothing is on it,
+// takeHandedOverLocked takes a machine that another controller has handed over: nothing is on it,
 // and it can be used at once by what its owner before knew of it.
-func (s *Scheduler) takeLocked(name string, o cluster.Owner) {
+func (s *Scheduler) takeHandedOverLocked(name string, o cluster.Owner) {
 	now := time.Now()
 	var r fleet.Record
 	if err := json.Unmarshal(o.Machine, &r); err != nil {
-		s.log.Error("a given machine is unreadable", "machine", name, "err", err)
+		s.log.Error("a handed-over machine record is unreadable", "machine", name, "err", err)
 		return
 	}
 	t := s.addMachineLocked(fleet.FromRecord(name, r, s.epoch.Token, now), now)
@@ -48,18 +48,18 @@
 	return nil
 }
 
-// giveableLocked tells whether a machine can change to another share: idle,
+// canHandOverLocked tells whether a machine can change to another share: idle,
 // and nothing that this share has sent can still come to it.
-func (s *Scheduler) giveableLocked(m *machine, now time.Time) bool {
+func (s *Scheduler) canHandOverLocked(m *machine, now time.Time) bool {
 	return s.usableLocked(m, now) && m.Idle() && !m.dirty && !m.sending && !m.probing
 }
 
-// giveableMachinesLocked returns the machines that can change to another share,
+// handoverCandidatesLocked returns the machines that can change to another share,
 // those idle for the longest first.
-func (s *Scheduler) giveableMachinesLocked(now time.Time) []*machine {
+func (s *Scheduler) handoverCandidatesLocked(now time.Time) []*machine {
 	var idle []*machine
 	for _, m := range s.machines {
-		if s.giveableLocked(m, now) {
+		if s.canHandOverLocked(m, now) {
 			idle = append(idle, m)
 		}
 	}
@@ -71,9 +71,9 @@
 // machine may take.
 const imagesPartOfTransfer = 16
 
-// giveLocked gives idle machines to another share. This share answers their
+// handOverLocked hands idle machines over to another controller. This one answers their
 // workers no more before the write goes out.
-func (s *Scheduler) giveLocked(machines []*machine, node string) {
+func (s *Scheduler) handOverLocked(machines []*machine, node string) {
 	for len(machines) > 0 {
 		batch, about, size := []*machine{}, map[string]json.RawMessage{}, 0
 		for len(machines) > 0 {
@@ -101,11 +101,11 @@
 		if len(batch) == 0 {
 			return
 		}
-		s.log.Info("giving machines", "to", node, "count", len(batch), "first", batch[0].Name)
+		s.log.Info("handing over machines", "to", node, "count", len(batch), "first", batch[0].Name)
 		s.goDo(func(ctx context.Context) {
 			err := s.transfer(ctx, node, about, state.Placement)
 			if err != nil {
-				s.log.Info("giving machines failed", "to", node, "err", err)
+				s.log.Info("handing over machines failed", "to", node, "err", err)
 			}
 			s.mu.Lock()
 			defer s.mu.Unlock()
@@ -144,7 +144,7 @@
 			return // it gathers machines
 		}
 	}
-	idle := s.giveableMachinesLocked(now)
+	idle := s.handoverCandidatesLocked(now)
 	if len(idle) <= 1 {
 		return
 	}
@@ -155,7 +155,7 @@
 	}
 	if s.epoch.Leader != s.opts.Node {
 		if !s.opts.Authority.PeerLoads()[s.epoch.Leader].Overloaded {
-			s.giveLocked(idle[keep:], s.epoch.Leader)
+			s.handOverLocked(idle[keep:], s.epoch.Leader)
 		}
 		return
 	}
@@ -170,7 +170,7 @@
 		return
 	}
 	for i, node := range poor {
-		s.giveLocked(idle[i*each:(i+1)*each], node)
+		s.handOverLocked(idle[i*each:(i+1)*each], node)
 	}
 }
 
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -47,8 +47,8 @@
 		booked = append(booked, booking{m, a, dirty})
 	}
 	if len(booked) > 0 { // there is more room again
-		clear(s.pass.full)
-		clear(s.pass.lacks)
+		clear(s.cycle.full)
+		clear(s.cycle.lacks)
 	}
 	// Without waking the scheduler or writing records: that would set off the
 	// next try at once, for as long as the gang waits.
@@ -81,8 +81,8 @@
 			return
 		}
 		var m *machine
-		sh, plain := js.shapeOf()
-		if full := plain && s.pass.full[sh] || s.lacksRoomLocked(js.size, now); !full || js.service() {
+		sh, plain := js.placementClass()
+		if full := plain && s.cycle.full[sh] || s.lacksRoomLocked(js.size, now); !full || js.service() {
 			var wait bool
 			m, wait = s.findHeldLocked(js, now, s.guaranteed(js))
 			if wait || m == nil && s.awaitHeldLocked(js, now) {
@@ -100,7 +100,7 @@
 		}
 		if m == nil {
 			if plain {
-				s.pass.full[sh] = true
+				s.cycle.full[sh] = true
 			}
 			if js.waiting.IsZero() {
 				js.waiting = now
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -150,7 +150,7 @@
 		for n < len(turns) && turns[n].alike(turns[0]) {
 			n++
 		}
-		s.pass.passedUp = false
+		s.cycle.passedUp = false
 		for _, t := range turns[:n] {
 			s.serveLocked(t.js, now, true)
 		}
@@ -185,9 +185,9 @@
 		js.passedUp = now
 	}
 	if now.Sub(js.passedUp) <= js.fetch {
-		s.pass.passedUp = true
+		s.cycle.passedUp = true
 	}
-	return s.pass.passedUp
+	return s.cycle.passedUp
 }
 
 // longestFetch bounds what is taken for the time of a fetch.
@@ -214,8 +214,8 @@
 	id := g.rec.Job.ID
 	kept := s.reservedLocked(now)
 	wants := min(g.asked, maxAskedPerJob) - kept[id]
-	sh, plain := g.shapeOf()
-	if wants <= 0 || plain && s.pass.full[sh] || s.lacksRoomLocked(g.size, now) {
+	sh, plain := g.placementClass()
+	if wants <= 0 || plain && s.cycle.full[sh] || s.lacksRoomLocked(g.size, now) {
 		return
 	}
 	keep := func(m *machine) {
@@ -236,7 +236,7 @@
 		}
 	}
 	if plain && !held && wants > 0 {
-		s.pass.full[sh] = true
+		s.cycle.full[sh] = true
 	}
 }
 
@@ -261,8 +261,8 @@
 	}
 }
 
-// turn is what decides when a job is served; the lower goes first.
-type turn struct {
+// queueEntry is what decides when a job is served; the lower goes first.
+type queueEntry struct {
 	js         *jobState
 	rank       int
 	guaranteed int
@@ -271,21 +271,21 @@
 }
 
 // alike tells whether two jobs differ only in the work that is left.
-func (t turn) alike(o turn) bool {
+func (t queueEntry) alike(o queueEntry) bool {
 	return t.rank == o.rank && t.guaranteed == o.guaranteed && t.urgency == o.urgency
 }
 
 // sortQueueLocked puts jobs in the order in which they are served.
-func (s *Scheduler) sortQueueLocked(queue []*jobState, now time.Time) []turn {
-	turns := make([]turn, len(queue))
+func (s *Scheduler) sortQueueLocked(queue []*jobState, now time.Time) []queueEntry {
+	turns := make([]queueEntry, len(queue))
 	for i, js := range queue {
-		turns[i] = turn{js: js, rank: js.rank, guaranteed: -boolInt(s.guaranteed(js)),
+		turns[i] = queueEntry{js: js, rank: js.rank, guaranteed: -boolInt(s.guaranteed(js)),
 			urgency: js.urgency(now), remaining: js.remaining()}
 		if turns[i].urgency <= starved {
 			turns[i].remaining = -now.Sub(js.begin).Seconds()
 		}
 	}
-	slices.SortFunc(turns, func(a, b turn) int {
+	slices.SortFunc(turns, func(a, b queueEntry) int {
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.guaranteed, b.guaranteed), cmp.Compare(a.urgency, b.urgency),
 			cmp.Compare(a.remaining, b.remaining), cmp.Compare(a.js.rec.Job.ID, b.js.rec.Job.ID))
 	})
--- a/internal/scheduler/lend.go
+++ b/internal/scheduler/remote.go
@@ -297,8 +297,8 @@
 		if r.Job.Kind == wire.KindGang {
 			// A gang is placed in one walk of one share, which needs machines
 			// for it, not places.
-			if idle := s.idleLocked(g, now); idle != nil && s.giveableLocked(idle, now) {
-				s.giveLocked([]*machine{idle}, from)
+			if idle := s.idleLocked(g, now); idle != nil && s.canHandOverLocked(idle, now) {
+				s.handOverLocked([]*machine{idle}, from)
 				reply.Given++
 			}
 			break
@@ -313,9 +313,9 @@
 			reply.Making = reply.Making || wait
 			break
 		}
-		if !overloaded && s.giveableLocked(m, now) {
+		if !overloaded && s.canHandOverLocked(m, now) {
 			// The asking share places there itself.
-			reply.Given += uint32(s.giveForLocked(g, m, from, int(w.Pending)-(len(w.Attempts)-left), now))
+			reply.Given += uint32(s.handOverForLocked(g, m, from, int(w.Pending)-(len(w.Attempts)-left), now))
 			break
 		}
 		a := &fleet.Attempt{Key: key, Job: w.Job, Index: index, Guest: true, Epoch: s.epoch.Token}
@@ -334,24 +334,24 @@
 	}
 }
 
-// giveForLocked gives a share that starves the first machine and as many more
+// handOverForLocked gives a share that starves the first machine and as many more
 // idle ones as the job's pending tasks need, but leaves as many as it gives:
 // the next to ask may need them as much. It returns how many it gave.
-func (s *Scheduler) giveForLocked(js *jobState, first *machine, node string, pending int, now time.Time) int {
+func (s *Scheduler) handOverForLocked(js *jobState, first *machine, node string, pending int, now time.Time) int {
 	fit := max(1, int(1/max(js.share, 1e-3)))
 	want := (pending + fit - 1) / fit
 	giving := []*machine{first}
 	var idle []*machine
 	if want > 1 {
 		for _, m := range s.machines {
-			if m != first && !s.list.Has(m) && s.giveableLocked(m, now) && s.fitsLocked(js, m, now) {
+			if m != first && !s.list.Has(m) && s.canHandOverLocked(m, now) && s.fitsLocked(js, m, now) {
 				idle = append(idle, m)
 			}
 		}
 		slices.SortFunc(idle, func(a, b *machine) int { return cmp.Compare(a.Name, b.Name) })
 		giving = append(giving, idle[:min(want-1, len(idle)/2)]...)
 	}
-	s.giveLocked(giving, node)
+	s.handOverLocked(giving, node)
 	return len(giving)
 }
 
--- a/internal/scheduler/rent.go
+++ b/internal/scheduler/rent.go
@@ -17,21 +17,21 @@
 	"heronwick/wire"
 )
 
-// offer is a kind of machine that could be rented.
-type offer struct {
+// rentalOption is a kind of machine that could be rented.
+type rentalOption struct {
 	place placement.Place
 	t     *wire.MachineType
 }
 
-// virtual is a machine that is on its way, or would be if rented.
-type virtual struct {
+// plannedMachine is a machine that is on its way, or would be if rented.
+type plannedMachine struct {
 	place placement.Place
 	free  placement.Resources
 	rent  bool
 }
 
-// demand is what a job, of any share, finds no room for.
-type demand struct {
+// unmetDemand is what a job, of any share, finds no room for.
+type unmetDemand struct {
 	job   *jobState
 	tasks int
 }
@@ -67,11 +67,11 @@
 
 // demandLocked gathers what finds no room in any share, in the order in which
 // it is rented for.
-func (s *Scheduler) demandLocked(now time.Time) []demand {
-	var all []demand
+func (s *Scheduler) demandLocked(now time.Time) []unmetDemand {
+	var all []unmetDemand
 	for _, js := range s.jobs {
 		if n := js.wants(now); n > 0 {
-			all = append(all, demand{js, n})
+			all = append(all, unmetDemand{js, n})
 		}
 	}
 	for _, w := range s.opts.Authority.UnplacedWants() {
@@ -83,9 +83,9 @@
 			}
 			js = s.newJob(r)
 		}
-		all = append(all, demand{js, int(w.Tasks)})
+		all = append(all, unmetDemand{js, int(w.Tasks)})
 	}
-	slices.SortFunc(all, func(a, b demand) int {
+	slices.SortFunc(all, func(a, b unmetDemand) int {
 		return cmp.Or(cmp.Compare(a.job.rank, b.job.rank), a.job.begin.Compare(b.job.begin))
 	})
 	return all
@@ -102,7 +102,7 @@
 	for _, m := range s.machines {
 		perZone[m.Zone]++
 	}
-	var coming []*virtual
+	var coming []*plannedMachine
 	for _, b := range s.supply.booting {
 		perZone[b.place.Zone]++
 		t := s.types[b.place.Type]
@@ -110,11 +110,11 @@
 		if t == nil || now.Sub(b.since) > time.Duration(1.7*t.BootS*float64(time.Second)) {
 			continue
 		}
-		coming = append(coming, &virtual{place: b.place, free: placement.Capacity(t)})
+		coming = append(coming, &plannedMachine{place: b.place, free: placement.Capacity(t)})
 	}
 	rented := 0
-	rent := func(o *offer) *virtual {
-		v := &virtual{place: o.place, free: placement.Capacity(o.t), rent: true}
+	rent := func(o *rentalOption) *plannedMachine {
+		v := &plannedMachine{place: o.place, free: placement.Capacity(o.t), rent: true}
 		coming = append(coming, v)
 		perZone[o.place.Zone]++
 		rented++
@@ -135,7 +135,7 @@
 				if rented >= maxRentals {
 					break
 				}
-				o := s.offerLocked(j, d.job.size, zones, perZone, now)
+				o := s.rentalOptionLocked(j, d.job.size, zones, perZone, now)
 				if o == nil {
 					break
 				}
@@ -148,9 +148,9 @@
 	}
 	for lacking := s.reserveLackLocked(coming, now); lacking > 0 && rented < maxRentals; {
 		// Ordinary machines take any job.
-		o := s.offerLocked(&wire.Job{Tasks: 1}, placement.Resources{}, nil, perZone, now)
+		o := s.rentalOptionLocked(&wire.Job{Tasks: 1}, placement.Resources{}, nil, perZone, now)
 		if o == nil {
-			o = s.offerLocked(&wire.Job{Tasks: 1, Spot: true}, placement.Resources{}, nil, perZone, now)
+			o = s.rentalOptionLocked(&wire.Job{Tasks: 1, Spot: true}, placement.Resources{}, nil, perZone, now)
 		}
 		if o == nil {
 			break
@@ -180,7 +180,7 @@
 // reserveLackLocked returns the CPUs that the reserve lacks: a part of the
 // machines in use, idle or on their way, to take bursts and what dead machines
 // leave.
-func (s *Scheduler) reserveLackLocked(coming []*virtual, now time.Time) float64 {
+func (s *Scheduler) reserveLackLocked(coming []*plannedMachine, now time.Time) float64 {
 	var free, total placement.Resources
 	inUse := 0
 	for _, m := range s.machines {
@@ -203,12 +203,12 @@
 	return math.Max(0, (total.CPUs+cpus)/4-free.CPUs-freeCPUs)
 }
 
-// offerLocked chooses what to rent for a job: spot if it may, the cheapest
+// rentalOptionLocked chooses what to rent for a job: spot if it may, the cheapest
 // per CPU, in the zone with the fewest machines; not what the cloud has just
 // refused. perZone counts the machines that there are.
-func (s *Scheduler) offerLocked(j *wire.Job, size placement.Resources, zones, perZone map[string]int, now time.Time) *offer {
-	var best *offer
-	cost := func(o *offer) float64 {
+func (s *Scheduler) rentalOptionLocked(j *wire.Job, size placement.Resources, zones, perZone map[string]int, now time.Time) *rentalOption {
+	var best *rentalOption
+	cost := func(o *rentalOption) float64 {
 		if o.place.Spot {
 			return o.t.SpotPrice / max(o.t.CPUs, 0.001)
 		}
@@ -217,7 +217,7 @@
 	for _, t := range s.types {
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{false, true} {
-				o := &offer{place: placement.Place{Type: t.Name, Zone: zone, Spot: spot}, t: t}
+				o := &rentalOption{place: placement.Place{Type: t.Name, Zone: zone, Spot: spot}, t: t}
 				if !size.Within(placement.Capacity(t)) || s.supply.refusedLately(o.place, now) ||
 					!placement.Allows(j, o.place, placement.Spread{ByZone: zones}) {
 					continue
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -25,9 +25,9 @@
 	return false
 }
 
-// Checkin takes a worker's report. It returns nil if this share has no right
+// HandleHeartbeat takes a worker's report. It returns nil if this share has no right
 // to answer it.
-func (s *Scheduler) Checkin(r *wire.Heartbeat) *wire.HeartbeatReply {
+func (s *Scheduler) HandleHeartbeat(r *wire.Heartbeat) *wire.HeartbeatReply {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -195,7 +195,7 @@
 	probeRate         *rate.Limiter
 	syncWaits         bool // for that
 	list              placement.List[*machine]
-	pass              pass
+	cycle             schedulingPass
 	used              map[string]placement.Resources // by team, all that may be on machines
 	numbers           attemptNumbers
 	supply            supply
@@ -207,7 +207,7 @@
 	ledSince          time.Time       // when this controller last began to lead
 	resigned          time.Time
 	grouped           time.Time // when idle machines were last regrouped
-	relieved          time.Time // when some were last given away for want of processor time
+	shedAt            time.Time // when some were last given away for want of processor time
 	overloaded        time.Time // when this controller was last short of processor time
 	toldAll           time.Time // when the progress of all jobs was last told
 	passes            passTimes // since the load was last logged
@@ -313,7 +313,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.regroupLocked(now)
-	s.relieveLocked(now)
+	s.shedIdleMachinesLocked(now)
 	s.watchMachinesLocked(now)
 	if now.Sub(s.upkeep.summarized) >= summarizeEvery {
 		s.upkeep.summarized = now
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/schedulingpass.go
@@ -9,13 +9,13 @@
 	"heronwick/wire"
 )
 
-// pass is what one pass of placing has found out and need not find out again
+// schedulingPass is what one schedulingPass of placing has found out and need not find out again
 // for each task of each job: nothing but its own placements changes meanwhile.
 // It never changes which machine is chosen, only how often one is looked at.
-type pass struct {
+type schedulingPass struct {
 	number uint64
-	idle   []*machine     // usable and not open, in the order of opening; nil: not looked for yet
-	full   map[shape]bool // no machine takes a task of the shape
+	idle   []*machine              // usable and not open, in the order of opening; nil: not looked for yet
+	full   map[placementClass]bool // no machine takes a task of the shape
 	// lacks: no machine has room for the size, wherever it may go.
 	lacks    map[placement.Resources]bool
 	reserved map[string]int // by job, the guests' tasks that room is kept for; nil: not counted yet
@@ -28,23 +28,23 @@
 	above   bool
 }
 
-// shape is all that decides where a task may go, of jobs that are not bound to
+// placementClass is all that decides where a task may go, of jobs that are not bound to
 // where their other tasks are.
-type shape struct {
+type placementClass struct {
 	size  placement.Resources
 	spot  bool
 	zone  string
 	types string
 }
 
-// shapeOf returns a job's shape; ok is false for one whose tasks are bound to
+// placementClass returns a job's shape; ok is false for one whose tasks are bound to
 // more than that.
-func (js *jobState) shapeOf() (sh shape, ok bool) {
+func (js *jobState) placementClass() (sh placementClass, ok bool) {
 	j := &js.rec.Job
 	if j.Spread || j.OneZone || len(js.failedOn) > 0 {
-		return shape{}, false
+		return placementClass{}, false
 	}
-	sh = shape{size: js.size, spot: j.Spot}
+	sh = placementClass{size: js.size, spot: j.Spot}
 	if j.Zone != nil {
 		sh.zone = *j.Zone
 	}
@@ -56,13 +56,13 @@
 
 // beginPassLocked forgets what the last pass has found.
 func (s *Scheduler) beginPassLocked() {
-	s.pass = pass{number: s.pass.number + 1, full: map[shape]bool{}, lacks: map[placement.Resources]bool{}}
+	s.cycle = schedulingPass{number: s.cycle.number + 1, full: map[placementClass]bool{}, lacks: map[placement.Resources]bool{}}
 }
 
 // lacksRoomLocked tells whether no machine has room for a task of the size: it
 // need not be walked for, whatever it is bound to.
 func (s *Scheduler) lacksRoomLocked(size placement.Resources, now time.Time) bool {
-	if s.pass.lacks[size] {
+	if s.cycle.lacks[size] {
 		return true
 	}
 	for _, m := range s.machines {
@@ -70,31 +70,31 @@
 			return false
 		}
 	}
-	s.pass.lacks[size] = true
+	s.cycle.lacks[size] = true
 	return true
 }
 
 // reservedLocked counts the tasks of guests that room is kept for, by job.
 func (s *Scheduler) reservedLocked(now time.Time) map[string]int {
-	if s.pass.reserved == nil {
-		s.pass.reserved = map[string]int{}
+	if s.cycle.reserved == nil {
+		s.cycle.reserved = map[string]int{}
 		for _, m := range s.machines {
 			for _, k := range m.reservations {
 				if now.Before(k.until) {
-					s.pass.reserved[k.job]++
+					s.cycle.reserved[k.job]++
 				}
 			}
 		}
 	}
-	return s.pass.reserved
+	return s.cycle.reserved
 }
 
 // lookLocked brings up to date what the pass knows of a machine.
 func (s *Scheduler) lookLocked(m *machine, now time.Time) {
-	if m.looked == s.pass.number && m.looked > 0 {
+	if m.looked == s.cycle.number && m.looked > 0 {
 		return
 	}
-	m.looked, m.usable, m.free = s.pass.number, s.acceptsLocked(m, now), placement.Resources{}
+	m.looked, m.usable, m.free = s.cycle.number, s.acceptsLocked(m, now), placement.Resources{}
 	if m.usable {
 		m.free, m.usable = m.Room()
 	}
@@ -104,21 +104,21 @@
 // the pass first asked, spot ones before ordinary ones, which other jobs may
 // need, then by name.
 func (s *Scheduler) idleMachinesLocked(now time.Time) []*machine {
-	if s.pass.idle == nil {
-		s.pass.idle = []*machine{}
+	if s.cycle.idle == nil {
+		s.cycle.idle = []*machine{}
 		for _, m := range s.machines {
 			if s.list.Has(m) {
 				continue
 			}
 			if s.lookLocked(m, now); m.usable {
-				s.pass.idle = append(s.pass.idle, m)
+				s.cycle.idle = append(s.cycle.idle, m)
 			}
 		}
-		slices.SortFunc(s.pass.idle, func(a, b *machine) int {
+		slices.SortFunc(s.cycle.idle, func(a, b *machine) int {
 			return cmp.Or(-cmp.Compare(boolInt(a.Spot), boolInt(b.Spot)), cmp.Compare(a.Name, b.Name))
 		})
 	}
-	return s.pass.idle
+	return s.cycle.idle
 }
 
 // idleLocked returns the idle machine to open for the job: one that holds its
@@ -142,7 +142,7 @@
 // mayPreemptAnyLocked tells whether there can be any task that the job may
 // have stopped: looking for the best on every machine takes long.
 func (s *Scheduler) mayPreemptAnyLocked(js *jobState, guaranteed bool) bool {
-	if p := &s.pass; !p.victims {
+	if p := &s.cycle; !p.victims {
 		p.victims = true
 		for _, m := range s.machines {
 			for _, a := range m.Attempts.All() {
@@ -155,7 +155,7 @@
 			p.above = p.above || (t.CPUs > 0 || t.CPUsMax > 0) && s.used[name].CPUs > t.CPUs
 		}
 	}
-	return js.rank < s.pass.lowest || guaranteed && s.pass.above
+	return js.rank < s.cycle.lowest || guaranteed && s.cycle.above
 }
 
 // service tells whether the job's tasks run until it is cancelled.
