--- a/cmd/heronwick/controller.go
+++ b/cmd/heronwick/controller.go
@@ -60,7 +60,7 @@
 	client    *state.Client
 	committer *state.Committer
 	catalog   *job.Store
-	offers    *cloud.Offers
+	offers    *cloud.TypeCache
 	members   *cluster.Cluster
 	overload  overload.Meter
 	latency   func() time.Duration // of scheduling in this process, as overload measures it
@@ -106,7 +106,7 @@
 		Client: c.client, Committer: c.committer, MaxValue: settings.ValueBytes, Log: log,
 		AcceptsChains: func() bool { return c.members.Supports(cluster.LevelChains) },
 	})
-	c.offers = cloud.NewOffers(out.cloud, c.client, settings.ValueBytes, log)
+	c.offers = cloud.NewTypeCache(out.cloud, c.client, settings.ValueBytes, log)
 	beaters := map[string]cluster.Beater{}
 	for node, p := range out.peers {
 		beaters[node] = p
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,4 +1,3 @@
-// Package cloud is the client of the cloud that rents machines.
 package cloud
 
 import (
--- a/internal/cluster/election.go
+++ b/internal/cluster/election.go
@@ -65,7 +65,7 @@
 		c.raiseLevel(ctx)
 	case vacant:
 		// Whoever comes first wins; jitter makes a tie rare.
-		wait.For(ctx, rand.N(100*time.Millisecond))
+		wait.Sleep(ctx, rand.N(100*time.Millisecond))
 		c.claim(ctx)
 	}
 }
--- a/internal/cluster/owners.go
+++ b/internal/cluster/owners.go
@@ -177,7 +177,7 @@
 // waits behind everything else for the state service's limits.
 func (c *Cluster) tidyUp(ctx context.Context) error {
 	for ctx.Err() == nil {
-		wait.For(ctx, tidyEvery)
+		wait.Sleep(ctx, tidyEvery)
 		c.tidy(ctx)
 	}
 	return nil
--- a/internal/cluster/watch.go
+++ b/internal/cluster/watch.go
@@ -118,7 +118,7 @@
 		if !fresh {
 			if err := c.refresh(ctx); err != nil {
 				c.opts.Log.Debug("reading the epoch failed", "err", err)
-				wait.For(ctx, 200*time.Millisecond+rand.N(200*time.Millisecond))
+				wait.Sleep(ctx, 200*time.Millisecond+rand.N(200*time.Millisecond))
 				continue
 			}
 			fresh = true
@@ -130,7 +130,7 @@
 		events, err := c.opts.Client.Watch(ctx, prefix, after, watchFor)
 		if err != nil {
 			fresh = false
-			wait.For(ctx, 100*time.Millisecond+rand.N(200*time.Millisecond))
+			wait.Sleep(ctx, 100*time.Millisecond+rand.N(200*time.Millisecond))
 			continue
 		}
 		c.mu.Lock()
--- a/internal/failovertest/node.go
+++ b/internal/failovertest/node.go
@@ -90,7 +90,7 @@
 	var group sync.WaitGroup
 	group.Go(func() { n.watch(ctx) })
 	group.Go(func() { _ = n.keeper.Run(ctx) })
-	for wait.For(ctx, n.opts.ActionInterval/2+time.Duration(n.random.Int64N(int64(n.opts.ActionInterval)))) {
+	for wait.Sleep(ctx, n.opts.ActionInterval/2+time.Duration(n.random.Int64N(int64(n.opts.ActionInterval)))) {
 		n.step(ctx)
 	}
 	group.Wait()
@@ -104,7 +104,7 @@
 	for revision := uint64(0); ctx.Err() == nil; {
 		events, err := n.client.Watch(ctx, clusterPrefix, revision, watchTimeout)
 		if err != nil {
-			wait.For(ctx, 100*time.Millisecond)
+			wait.Sleep(ctx, 100*time.Millisecond)
 			continue
 		}
 		revision = max(revision, events.Revision)
@@ -182,7 +182,7 @@
 
 func (n *Node) reclaim(ctx context.Context, machines []string) {
 	condemnation, err := n.actions.Condemn(ctx, reclaimDuty, n.fence(), machines, "idle")
-	for err == nil && n.actions.GiveBack(ctx, condemnation) != nil && wait.For(ctx, 200*time.Millisecond) {
+	for err == nil && n.actions.GiveBack(ctx, condemnation) != nil && wait.Sleep(ctx, 200*time.Millisecond) {
 		continue
 	}
 }
--- a/internal/job/dependencies.go
+++ b/internal/job/dependencies.go
@@ -214,7 +214,7 @@
 	}
 	if err := g.Wait(); err != nil {
 		c.log.Debug("looking up jobs that others need failed", "err", err)
-		wait.For(ctx, retryPause())
+		wait.Sleep(ctx, retryPause())
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for id := range c.unresolved {
@@ -235,7 +235,7 @@
 // them is, so that they need not be looked up again after a restart.
 func (c *Store) runImplied(ctx context.Context) error {
 	for ctx.Err() == nil {
-		wait.For(ctx, settleImpliedEvery/2+rand.N(settleImpliedEvery))
+		wait.Sleep(ctx, settleImpliedEvery/2+rand.N(settleImpliedEvery))
 		c.mu.Lock()
 		var implied []*Record
 		for _, r := range c.implied {
--- a/internal/job/store.go
+++ b/internal/job/store.go
@@ -226,7 +226,7 @@
 		if !fresh {
 			if err := c.load(ctx); err != nil {
 				c.log.Debug("reading jobs failed", "err", err)
-				wait.For(ctx, retryPause())
+				wait.Sleep(ctx, retryPause())
 				continue
 			}
 			fresh = true
@@ -238,7 +238,7 @@
 		events, err := c.client.Watch(ctx, prefix, after, 4*time.Second)
 		if err != nil {
 			fresh = !errors.Is(err, state.ErrCompacted)
-			wait.For(ctx, retryPause())
+			wait.Sleep(ctx, retryPause())
 			continue
 		}
 		c.take(events, 0)
--- a/internal/overload/meter.go
+++ b/internal/overload/meter.go
@@ -1,6 +1,3 @@
-// Package overload measures how short of processor time this process is, so
-// that the rest of the service does not take its own slowness for the silence
-// of others.
 package overload
 
 import (
--- a/internal/scheduler/done.go
+++ b/internal/scheduler/done.go
@@ -203,5 +203,5 @@
 		s.resolveLocked(id)
 		s.mu.Unlock()
 	}
-	return err != nil && wait.For(ctx, 300*time.Millisecond)
+	return err != nil && wait.Sleep(ctx, 300*time.Millisecond)
 }
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -66,7 +66,7 @@
 		for {
 			f, over, found, err := s.opts.Jobs.Resolve(ctx, id)
 			if err != nil {
-				if !wait.For(ctx, 300*time.Millisecond) {
+				if !wait.Sleep(ctx, 300*time.Millisecond) {
 					return
 				}
 				continue
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -69,7 +69,7 @@
 	s.goDo(func(ctx context.Context) {
 		err := s.transfer(ctx, "", machines, state.Background)
 		if err != nil {
-			wait.For(ctx, 500*time.Millisecond)
+			wait.Sleep(ctx, 500*time.Millisecond)
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
--- a/internal/scheduler/rent.go
+++ b/internal/scheduler/rent.go
@@ -299,7 +299,7 @@
 	for range 3 {
 		// Repeating an unanswered request rents nothing twice.
 		names, err = s.opts.Actions.Rent(ctx, guard, req)
-		if err == nil || errors.Is(err, cloud.ErrNoCapacity) || !wait.For(ctx, 300*time.Millisecond) {
+		if err == nil || errors.Is(err, cloud.ErrNoCapacity) || !wait.Sleep(ctx, 300*time.Millisecond) {
 			break
 		}
 	}
--- a/internal/scheduler/returns.go
+++ b/internal/scheduler/returns.go
@@ -85,7 +85,7 @@
 			break
 		}
 		s.log.Info("returning machines failed, trying again", "machines", names, "err", err)
-		if !wait.For(ctx, 300*time.Millisecond+rand.N(400*time.Millisecond)) {
+		if !wait.Sleep(ctx, 300*time.Millisecond+rand.N(400*time.Millisecond)) {
 			return
 		}
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -296,7 +296,7 @@
 			s.tick(now)
 		}
 		took := s.schedule()
-		if !wait.For(ctx, max(passEvery, 2*took)) {
+		if !wait.Sleep(ctx, max(passEvery, 2*took)) {
 			return nil
 		}
 	}
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,3 @@
-// Package wait waits, for as long as a context lasts.
 package wait
 
 import (
@@ -6,8 +5,8 @@
 	"time"
 )
 
-// For waits, or returns false when ctx ends first.
-func For(ctx context.Context, d time.Duration) bool {
+// Sleep waits for d and returns true, or returns false as soon as ctx ends.
+func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
