--- a/cmd/heronwick/controller.go
+++ b/cmd/heronwick/controller.go
@@ -104,7 +104,7 @@
 	c.committer = state.NewCommitter(c.client, settings.TxnOps)
 	c.catalog = job.NewStore(job.Options{
 		Client: c.client, Committer: c.committer, MaxValue: settings.ValueBytes, Log: log,
-		AcceptsChains: func() bool { return c.members.Supports(cluster.LevelChains) },
+		AcceptsDependencies: func() bool { return c.members.Supports(cluster.LevelChains) },
 	})
 	c.offers = cloud.NewTypeCache(out.cloud, c.client, settings.ValueBytes, log)
 	beaters := map[string]cluster.Beater{}
--- a/internal/cluster/election.go
+++ b/internal/cluster/election.go
@@ -155,7 +155,7 @@
 	if fresh {
 		return
 	}
-	if err := c.opts.Cancellations.CatchUp(ctx, revision); err != nil {
+	if err := c.opts.Cancellations.SyncToRevision(ctx, revision); err != nil {
 		c.opts.Log.Debug("the epoch is current, but not what is known of jobs", "err", err)
 		return
 	}
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -144,8 +144,8 @@
 	s := &peerpb.Status{Node: c.opts.Node, Incarnation: c.incarnation, FeatureLevel: uint32(supportedLevel),
 		StateOk: c.opts.Route.DirectOK(2 * time.Second)}
 	c.opts.Status(s)
-	known := c.opts.Cancellations.Known(after)
-	s.JobsRead, s.JobsRevision, s.JobsBase, s.Cancelled = known.Read, known.Revision, known.Base, toPeer(known.Named)
+	known := c.opts.Cancellations.KnownCancellations(after)
+	s.JobsRead, s.JobsRevision, s.JobsBase, s.Cancelled = known.Loaded, known.Revision, known.Base, toPeer(known.Recent)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.known {
@@ -177,7 +177,7 @@
 		theirs, err := p.client.Beat(bctx, mine)
 		cancel()
 		if err == nil {
-			c.opts.Cancellations.Learn(fromPeer(theirs.Cancelled))
+			c.opts.Cancellations.ApplyCancellations(fromPeer(theirs.Cancelled))
 			// What the peer cannot name, since it started or forgot, must be
 			// known here already: else its word says nothing of cancellations.
 			named := mine.JobsRead && theirs.JobsRead && theirs.JobsBase <= mine.JobsRevision
@@ -193,7 +193,7 @@
 				c.poke()
 			}
 			if mine.JobsRead && theirs.JobsBase > mine.JobsRevision {
-				if err := c.opts.Cancellations.CatchUp(ctx, theirs.JobsBase); err != nil {
+				if err := c.opts.Cancellations.SyncToRevision(ctx, theirs.JobsBase); err != nil {
 					c.opts.Log.Debug("reading what a peer cannot name failed", "peer", p.node, "err", err)
 				}
 			}
--- a/internal/cluster/replicate.go
+++ b/internal/cluster/replicate.go
@@ -15,11 +15,11 @@
 // long as it is permitted to; so no permission comes without what is known of
 // them, see docs/design.md, "Cancelled means known".
 type Cancellations interface {
-	// Known tells what is known, and names those after a revision.
-	Known(after uint64) job.CancellationState
-	Learn(cancelled []job.Cancellation)
-	// CatchUp makes every one up to a revision known that was seen in the store.
-	CatchUp(ctx context.Context, revision uint64) error
+	// KnownCancellations tells what is known, and names those after a revision.
+	KnownCancellations(after uint64) job.CancellationState
+	ApplyCancellations(cancelled []job.Cancellation)
+	// SyncToRevision makes every one up to a revision known that was seen in the store.
+	SyncToRevision(ctx context.Context, revision uint64) error
 }
 
 const (
@@ -58,7 +58,7 @@
 
 // HandleTell takes cancellations that a peer is about to confirm.
 func (c *Cluster) HandleTell(req *peerpb.TellRequest) *peerpb.TellReply {
-	c.opts.Cancellations.Learn(fromPeer(req.Cancelled))
+	c.opts.Cancellations.ApplyCancellations(fromPeer(req.Cancelled))
 	return &peerpb.TellReply{}
 }
 
--- a/internal/cluster/watch.go
+++ b/internal/cluster/watch.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		return err
 	}
-	caughtUp := c.opts.Cancellations.CatchUp(ctx, revision) == nil
+	caughtUp := c.opts.Cancellations.SyncToRevision(ctx, revision) == nil
 	if c.takeList(sent, items, revision, caughtUp) {
 		c.opts.Changed()
 	}
--- a/internal/job/answers.go
+++ b/internal/job/answers.go
@@ -85,18 +85,18 @@
 // Resolve finds out about a job that is not cached: whether it is over, or
 // not known at all. An active one is told to the listener.
 func (c *Store) Resolve(ctx context.Context, id string) (f Outcome, over, found bool, err error) {
-	if f, over = c.ended(id); over {
+	if f, over = c.outcomeOf(id); over {
 		return f, true, true, nil
 	}
 	if _, found, err = c.read(ctx, id); err != nil || !found {
 		return Outcome{}, false, false, err
 	}
-	f, over = c.ended(id)
+	f, over = c.outcomeOf(id)
 	return f, over, true, nil
 }
 
-// ended returns how a job ended, if it is known to be over.
-func (c *Store) ended(id string) (f Outcome, over bool) {
+// outcomeOf returns how a job outcomeOf, if it is known to be over.
+func (c *Store) outcomeOf(id string) (f Outcome, over bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if o := c.final[id]; o != nil {
@@ -115,7 +115,7 @@
 	for range answerTries {
 		status, r, final := c.cached(id)
 		if final {
-			return c.told(ctx, id, status)
+			return c.confirmedStatus(ctx, id, status)
 		}
 		if r == nil {
 			found, err := c.knownInStore(ctx, id)
@@ -183,10 +183,10 @@
 // newRecord makes the record of a job that is about to be accepted. The error is
 // a *wire.FieldError if the job can never be.
 func (c *Store) newRecord(ctx context.Context, j wire.Job) (r *Record, value []byte, err error) {
-	if len(j.Dependencies) > 0 && !c.acceptsChains() {
-		return nil, nil, ErrChainsNotYet
+	if len(j.Dependencies) > 0 && !c.acceptsDependencies() {
+		return nil, nil, ErrDependenciesNotSupported
 	}
-	if err := c.checkNeeds(ctx, &j); err != nil {
+	if err := c.checkDependencies(ctx, &j); err != nil {
 		return nil, nil, err
 	}
 	r = &Record{Job: j, AcceptedMs: time.Now().UnixMilli()}
@@ -206,7 +206,7 @@
 	for range 3 {
 		status, r, final := c.cached(id)
 		if final {
-			return c.told(ctx, id, status)
+			return c.confirmedStatus(ctx, id, status)
 		}
 		if r == nil {
 			if status, found, err = c.read(ctx, id); err != nil || !found {
@@ -219,7 +219,7 @@
 		} else if conflict := (*state.Conflict)(nil); !errors.As(err, &conflict) {
 			return wire.JobStatus{}, false, err
 		}
-		if c.Over(id) {
+		if c.Ended(id) {
 			continue
 		}
 		if _, _, err := c.read(ctx, id); err != nil {
@@ -242,7 +242,7 @@
 func (c *Store) end(ctx context.Context, r *Record, s wire.JobState, fence *state.Fence) error {
 	f := finalOf(&r.Job, s, time.Now())
 	write := endWrite(r, &f, state.Safety)
-	write.Fresh = func() bool { return !c.Over(r.Job.ID) }
+	write.Fresh = func() bool { return !c.Ended(r.Job.ID) }
 	if fence != nil {
 		write.Persist = true
 		write = fence.Bind(write)
--- a/internal/job/cancelled.go
+++ b/internal/job/cancelled.go
@@ -73,36 +73,36 @@
 
 // CancellationState is what a controller knows of cancellations.
 type CancellationState struct {
-	// Read: the jobs have been read; else nothing is known.
-	Read bool
+	// Loaded: the jobs have been read; else nothing is known.
+	Loaded bool
 	// Revision is up to which of the store's every one is known.
 	Revision uint64
 	// Base is after which one all that are known can be named.
 	Base uint64
-	// Named are those after the revision that was asked about.
-	Named []Cancellation
+	// Recent are those after the revision that was asked about.
+	Recent []Cancellation
 }
 
-// Known tells what is known of cancellations, and names those after a revision.
-func (c *Store) Known(after uint64) CancellationState {
+// KnownCancellations tells what is known of cancellations, and names those after a revision.
+func (c *Store) KnownCancellations(after uint64) CancellationState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.Ready() {
 		return CancellationState{}
 	}
-	return CancellationState{Read: true, Revision: c.revision, Base: c.cancelled.base, Named: c.cancelled.after(after)}
+	return CancellationState{Loaded: true, Revision: c.revision, Base: c.cancelled.base, Recent: c.cancelled.after(after)}
 }
 
-// Learn takes cancellations that another controller knows.
-func (c *Store) Learn(cancelled []Cancellation) {
+// ApplyCancellations takes cancellations that another controller knows.
+func (c *Store) ApplyCancellations(cancelled []Cancellation) {
 	for _, n := range cancelled {
 		c.setFinal(n.Job, n.Outcome, n.Revision)
 	}
 }
 
-// CatchUp makes every cancellation up to a revision known, which the caller
+// SyncToRevision makes every cancellation up to a revision known, which the caller
 // has seen in the store.
-func (c *Store) CatchUp(ctx context.Context, revision uint64) error {
+func (c *Store) SyncToRevision(ctx context.Context, revision uint64) error {
 	c.mu.Lock()
 	after, ready := c.revision, c.Ready()
 	c.mu.Unlock()
@@ -120,12 +120,12 @@
 		return fmt.Errorf("catching up with the jobs: %w", err)
 	}
 	// What was carried out before the question is in the answer.
-	c.take(events, revision)
+	c.applyEvents(events, revision)
 	return nil
 }
 
-// take applies what a watch from the store's last revision has brought.
-func (c *Store) take(events wire.Events, known uint64) {
+// applyEvents applies what a watch from the store's last revision has brought.
+func (c *Store) applyEvents(events wire.Events, known uint64) {
 	for _, e := range events.Events {
 		c.apply(e)
 	}
@@ -134,8 +134,8 @@
 	c.revision = max(c.revision, events.Revision, known)
 }
 
-// told returns the answer for a job that is over, as soon as it may be given.
-func (c *Store) told(ctx context.Context, id string, status wire.JobStatus) (wire.JobStatus, bool, error) {
+// confirmedStatus returns the answer for a job that is over, as soon as it may be given.
+func (c *Store) confirmedStatus(ctx context.Context, id string, status wire.JobStatus) (wire.JobStatus, bool, error) {
 	c.mu.Lock()
 	o, replicator := c.final[id], c.replicator
 	held := o != nil && o.State == wire.JobCancelled && !o.replicated && replicator != nil
@@ -152,8 +152,8 @@
 	return status, true, nil
 }
 
-// Over tells whether a job is known to be over, without asking the store.
-func (c *Store) Over(id string) bool {
-	_, over := c.ended(id)
+// Ended tells whether a job is known to be over, without asking the store.
+func (c *Store) Ended(id string) bool {
+	_, over := c.outcomeOf(id)
 	return over
 }
--- a/internal/job/dependencies.go
+++ b/internal/job/dependencies.go
@@ -30,32 +30,32 @@
 	return Readiness{EffectivePriority: r.ownPriority()}
 }
 
-// implyAfterLocked takes all jobs after a cancelled one for cancelled.
-func (c *Store) implyAfterLocked(id string) map[string]Outcome {
+// cancelDependentsLocked takes all jobs after a cancelled one for cancelled.
+func (c *Store) cancelDependentsLocked(id string) map[string]Outcome {
 	ended := map[string]Outcome{}
 	for _, after := range c.graph.after(id) {
 		r := c.active[after]
 		if r == nil {
 			continue
 		}
-		ended[after] = c.implyOneLocked(id, r)
+		ended[after] = c.cancelImpliedLocked(id, r)
 		c.graph.remove(after)
 	}
 	return ended
 }
 
-// implyLocked takes a job that names a cancelled one for cancelled, with all that
+// cancelWithDependentsLocked takes a job that names a cancelled one for cancelled, with all that
 // come after it.
-func (c *Store) implyLocked(cancelled string, r *Record) map[string]Outcome {
-	f := c.implyOneLocked(cancelled, r)
-	ended := c.implyAfterLocked(r.Job.ID)
+func (c *Store) cancelWithDependentsLocked(cancelled string, r *Record) map[string]Outcome {
+	f := c.cancelImpliedLocked(cancelled, r)
+	ended := c.cancelDependentsLocked(r.Job.ID)
 	ended[r.Job.ID] = f
 	return ended
 }
 
-// implyOneLocked takes a job for cancelled as another is. It has no task, and can
+// cancelImpliedLocked takes a job for cancelled as another is. It has no task, and can
 // get none, so nobody need be told before its user is.
-func (c *Store) implyOneLocked(cancelled string, r *Record) Outcome {
+func (c *Store) cancelImpliedLocked(cancelled string, r *Record) Outcome {
 	f := finalOf(&r.Job, wire.JobCancelled, time.Now())
 	c.keepFinalLocked(r.Job.ID, &outcomeEntry{Outcome: f, revision: c.final[cancelled].revision, replicated: true})
 	c.implied[r.Job.ID] = r
@@ -125,24 +125,24 @@
 	if err != nil || !e.partial {
 		return false, err
 	}
-	if err := c.CatchUp(ctx, revision); err != nil {
+	if err := c.SyncToRevision(ctx, revision); err != nil {
 		return false, err
 	}
-	return c.Over(r.Job.ID), nil
+	return c.Ended(r.Job.ID), nil
 }
 
-// checkNeeds tells whether all jobs that a job names were accepted: that is so for
+// checkDependencies tells whether all jobs that a job names were accepted: that is so for
 // ever. The error is a *wire.FieldError if one of them never was.
-func (c *Store) checkNeeds(ctx context.Context, j *wire.Job) error {
+func (c *Store) checkDependencies(ctx context.Context, j *wire.Job) error {
 	for _, id := range j.Dependencies {
-		if err := c.checkNeed(ctx, j, id); err != nil {
+		if err := c.checkDependency(ctx, j, id); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *Store) checkNeed(ctx context.Context, j *wire.Job, id string) error {
+func (c *Store) checkDependency(ctx context.Context, j *wire.Job, id string) error {
 	never := &wire.FieldError{Field: wire.FieldDependencies, Reason: id + " never accepted"}
 	if id == j.ID || !wire.ValidJobID(id) {
 		return never
--- a/internal/job/store.go
+++ b/internal/job/store.go
@@ -34,9 +34,9 @@
 // ErrNotReady says that the records have not been read yet.
 var ErrNotReady = errors.New("job records not read yet")
 
-// ErrChainsNotYet says that jobs that need others are not accepted yet: a
+// ErrDependenciesNotSupported says that jobs that need others are not accepted yet: a
 // controller that would start them too early may still run.
-var ErrChainsNotYet = errors.New("not every controller supports jobs that need others yet")
+var ErrDependenciesNotSupported = errors.New("not every controller supports jobs that need others yet")
 
 // Record is an accepted job.
 type Record struct {
@@ -88,11 +88,11 @@
 
 // Store is this controller's view of all jobs.
 type Store struct {
-	client        *state.Client
-	commit        *state.Committer
-	maxValue      int
-	acceptsChains func() bool
-	log           *slog.Logger
+	client              *state.Client
+	commit              *state.Committer
+	maxValue            int
+	acceptsDependencies func() bool
+	log                 *slog.Logger
 
 	mu         sync.Mutex
 	loaded     chan struct{} // closed once the records have been read
@@ -127,15 +127,15 @@
 	Committer *state.Committer
 	// MaxValue is how many bytes a value of the store may have.
 	MaxValue int
-	// AcceptsChains tells whether jobs that need others may be accepted.
-	AcceptsChains func() bool
-	Log           *slog.Logger
+	// AcceptsDependencies tells whether jobs that need others may be accepted.
+	AcceptsDependencies func() bool
+	Log                 *slog.Logger
 }
 
 // NewStore makes an empty store; Run fills it.
 func NewStore(opts Options) *Store {
 	return &Store{
-		client: opts.Client, commit: opts.Committer, maxValue: opts.MaxValue, acceptsChains: opts.AcceptsChains, log: opts.Log,
+		client: opts.Client, commit: opts.Committer, maxValue: opts.MaxValue, acceptsDependencies: opts.AcceptsDependencies, log: opts.Log,
 		loaded: make(chan struct{}),
 		active: map[string]*Record{}, final: map[string]*outcomeEntry{}, progress: map[string]Progress{},
 		graph: newGraph(), implied: map[string]*Record{}, unresolved: map[string]bool{}, toResolve: make(chan struct{}, 1),
@@ -241,7 +241,7 @@
 			wait.Sleep(ctx, retryPause())
 			continue
 		}
-		c.take(events, 0)
+		c.applyEvents(events, 0)
 	}
 	return nil
 }
@@ -349,7 +349,7 @@
 	delete(c.unresolved, id)
 	for _, need := range r.Job.Dependencies {
 		if o := c.final[need]; o != nil && o.State == wire.JobCancelled {
-			n.ended = c.implyLocked(need, r)
+			n.ended = c.cancelWithDependentsLocked(need, r)
 			return n
 		}
 	}
@@ -393,7 +393,7 @@
 		return n
 	}
 	c.cancelled.add(Cancellation{Job: id, Revision: revision, Outcome: f}, time.Now())
-	maps.Copy(n.ended, c.implyAfterLocked(id))
+	maps.Copy(n.ended, c.cancelDependentsLocked(id))
 	n.changed = c.graph.remove(id)
 	return n
 }
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -102,7 +102,7 @@
 				return false
 			}
 		}
-		return s.opts.Jobs.Active(id) == nil && !s.opts.Jobs.Over(id)
+		return s.opts.Jobs.Active(id) == nil && !s.opts.Jobs.Ended(id)
 	})
 	since, doubted := s.unknownTasksSince[r.Machine]
 	switch {
@@ -122,7 +122,7 @@
 	stops := []wire.Command{}
 	for _, t := range r.Tasks {
 		id, _, ok := wire.SplitTaskID(t.Task)
-		if ok && t.State != wire.TaskExited && s.opts.Jobs.Over(id) && len(stops) < wire.MaxCommands {
+		if ok && t.State != wire.TaskExited && s.opts.Jobs.Ended(id) && len(stops) < wire.MaxCommands {
 			grace := 0.0
 			stops = append(stops, wire.Command{Op: wire.OpStop, Task: t.Task, Attempt: t.Attempt, GraceS: &grace})
 		}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -69,7 +69,7 @@
 	Listen(l job.Listener)
 	Active(id string) *job.Record
 	AllActive() []*job.Record
-	Over(id string) bool
+	Ended(id string) bool
 	Readiness(r *job.Record) job.Readiness
 	Resolve(ctx context.Context, id string) (f job.Outcome, over, found bool, err error)
 	ReadDone(ctx context.Context) ([]job.DoneBucket, error)
