--- a/internal/scheduler/pages.go
+++ b/internal/scheduler/buckets.go
@@ -48,7 +48,7 @@
 	return max(leastAttempts, (limit-limit/imagesPart-longestRecord)/longestAttempt)
 }
 
-// recordLocked returns what a page holds of a machine, without the attempts that
+// recordLocked returns what a bucket holds of a machine, without the attempts that
 // are left out.
 func (s *Scheduler) recordLocked(m *machine, leaveOut func(*fleet.Attempt) bool) fleet.Record {
 	r := m.Record(leaveOut)
@@ -56,11 +56,11 @@
 	return r
 }
 
-// pageLimit is how many bytes a page may come to that takes another machine.
-func (s *Scheduler) pageLimit() int { return s.opts.Settings.ValueBytes * 3 / 4 }
+// bucketLimit is how many bytes a bucket may come to that takes another machine.
+func (s *Scheduler) bucketLimit() int { return s.opts.Settings.ValueBytes * 3 / 4 }
 
-// pageKey names the n-th page of the share.
-func (s *Scheduler) pageKey(n uint64) string {
+// bucketKey names the n-th bucket of the share.
+func (s *Scheduler) bucketKey(n uint64) string {
 	return fleet.BucketKey(s.opts.Node, s.epoch.Members[s.opts.Node].Since, n)
 }
 
@@ -70,17 +70,17 @@
 }
 
 // writing tells whether a record of the machine is on its way.
-func (m *machine) writing() bool { return m.page != nil && m.page.committing }
+func (m *machine) writing() bool { return m.bucket != nil && m.bucket.committing }
 
 // commitLocked records new placements: all that have gathered while the
 // journal was being written go with its next write. So a burst over all
-// machines is one change at a time, however many pages there are; those are
+// machines is one change at a time, however many buckets there are; those are
 // written when the journal fills.
 func (s *Scheduler) commitLocked() {
 	if !s.currentLocked() {
 		return // would only fail, and failures cost writes too
 	}
-	due := map[*page]bool{}
+	due := map[*bucket]bool{}
 	var dirty []*machine
 	for _, m := range s.machines {
 		if m.returning || !m.due && !m.dirty {
@@ -90,17 +90,17 @@
 			s.records.assign(m)
 		}
 		switch {
-		case m.due && m.page.writable():
-			due[m.page] = true
+		case m.due && m.bucket.writable():
+			due[m.bucket] = true
 		case m.dirty:
 			dirty = append(dirty, m)
 		}
 	}
 	for p := range due {
-		s.writePageLocked(p, state.Safety)
+		s.writeBucketLocked(p, state.Safety)
 	}
 	s.consolidateLocked()
-	dirty = slices.DeleteFunc(dirty, func(m *machine) bool { return !m.dirty }) // on a page just written
+	dirty = slices.DeleteFunc(dirty, func(m *machine) bool { return !m.dirty }) // on a bucket just written
 	if len(dirty) == 0 {
 		return
 	}
@@ -116,11 +116,11 @@
 	s.journaled = now.Add(time.Duration(s.writeJournalsLocked(dirty)) * s.journalEvery())
 }
 
-// consolidationsAtOnce bounds the pages that are written only to gather what is
-// on several: they are in the way of pages that journals wait for.
+// consolidationsAtOnce bounds the buckets that are written only to gather what is
+// on several: they are in the way of buckets that journals wait for.
 const consolidationsAtOnce = 2
 
-// consolidateLocked writes the pages of machines that records of former owners
+// consolidateLocked writes the buckets of machines that records of former owners
 // also name, so that those can be removed. Nobody waits for it: after a takeover
 // it would use up the writes that submissions wait for. What is not recorded yet
 // is left to the journals.
@@ -133,28 +133,28 @@
 			continue
 		}
 		s.records.assign(m)
-		if m.page.writable() {
-			s.writePageLocked(m.page, state.Background)
+		if m.bucket.writable() {
+			s.writeBucketLocked(m.bucket, state.Background)
 		}
 	}
 }
 
-// tidyEvery is how often pages are tidied: nobody waits for it.
+// tidyEvery is how often buckets are tidied: nobody waits for it.
 const tidyEvery = 10 * time.Second
 
-// tidyLocked writes the pages that name machines which are no longer here,
+// tidyLocked writes the buckets that name machines which are no longer here,
 // and removes those that name none that are.
 func (s *Scheduler) tidyLocked(now time.Time) {
 	if !s.loaded || !s.currentLocked() {
 		return
 	}
-	for _, p := range s.records.pages {
+	for _, p := range s.records.buckets {
 		if p.untidy && p.writable() && !s.records.writesJournal(p) && (p.empty() || now.Sub(p.written) > tidyFullEvery) {
-			s.writePageLocked(p, state.Background)
+			s.writeBucketLocked(p, state.Background)
 		}
 	}
 }
 
-// tidyFullEvery is how often pages are tidied that still hold something: what else
+// tidyFullEvery is how often buckets are tidied that still hold something: what else
 // they name is looked through at a takeover, no more.
 const tidyFullEvery = time.Minute
--- a/internal/scheduler/pagewrite.go
+++ b/internal/scheduler/bucketwrite.go
@@ -15,23 +15,23 @@
 	"heronwick/wire"
 )
 
-// pageWrite is one write of a journal or a page.
-type pageWrite struct {
+// bucketWrite is one write of a journal or a bucket.
+type bucketWrite struct {
 	write state.Write
 	// consolidates: it only gathers what is recorded already.
 	consolidates bool
 	journal      bool
-	page         *page
-	removes      bool                          // the page, which holds nothing any more
-	size         int                           // bytes that the page then holds
+	bucket       *bucket
+	removes      bool                          // the bucket, which holds nothing any more
+	size         int                           // bytes that the bucket then holds
 	jobs         map[string]bool               // whose being active it is conditional on
 	attempts     map[*machine][]*fleet.Attempt // that it records for the first time
 	moved        []*fleet.Attempt              // that only the journal held
-	recorded     []*machine                    // with records left over on other pages
+	recorded     []*machine                    // with records left over on other buckets
 }
 
-func (s *Scheduler) newPageWriteLocked(priority state.Priority) *pageWrite {
-	return &pageWrite{attempts: map[*machine][]*fleet.Attempt{}, jobs: map[string]bool{},
+func (s *Scheduler) newBucketWriteLocked(priority state.Priority) *bucketWrite {
+	return &bucketWrite{attempts: map[*machine][]*fleet.Attempt{}, jobs: map[string]bool{},
 		write: s.fenceLocked().Bind(state.Write{Priority: priority, Persist: true})}
 }
 
@@ -40,7 +40,7 @@
 // one cancelled a moment ago. A write takes half of the conditions that a
 // transaction can have: the rest is for others' writes beside it. What finds
 // no place goes with the next write.
-func (s *Scheduler) admitsLocked(pw *pageWrite, a *fleet.Attempt) bool {
+func (s *Scheduler) admitsLocked(pw *bucketWrite, a *fleet.Attempt) bool {
 	if a.Durable || pw.jobs[a.Job] {
 		return true
 	}
@@ -57,23 +57,23 @@
 }
 
 // records notes that the write records an attempt for the first time.
-func (pw *pageWrite) records(m *machine, a *fleet.Attempt) {
+func (pw *bucketWrite) records(m *machine, a *fleet.Attempt) {
 	pw.attempts[m] = append(pw.attempts[m], a)
 }
 
-// put makes the write one of a page.
-func (pw *pageWrite) put(p *page, value json.RawMessage) {
+// put makes the write one of a bucket.
+func (pw *bucketWrite) put(p *bucket, value json.RawMessage) {
 	p.committing, p.untidy, p.written = true, false, time.Now()
-	pw.page, pw.size = p, len(value)
+	pw.bucket, pw.size = p, len(value)
 	pw.write.If = append(pw.write.If, wire.Condition{Key: p.key, Version: p.version})
 	pw.write.Then = append(pw.write.Then, wire.Change{Put: p.key, Value: value})
 }
 
-// paged tells whether a page in the store has the machine's record.
-func (m *machine) paged() bool { return m.page != nil && m.page.version > 0 }
+// bucketWritten tells whether a bucket in the store has the machine's record.
+func (m *machine) bucketWritten() bool { return m.bucket != nil && m.bucket.version > 0 }
 
-// putPageLocked encodes a page and commits it.
-func (s *Scheduler) putPageLocked(pw *pageWrite, p *page, content fleet.RecordBucket) {
+// putBucketLocked encodes a bucket and commits it.
+func (s *Scheduler) putBucketLocked(pw *bucketWrite, p *bucket, content fleet.RecordBucket) {
 	value, err := json.Marshal(content)
 	if err != nil {
 		s.log.Error("encoding machines' records", "key", p.key, "err", err)
@@ -89,22 +89,22 @@
 	return fmt.Sprintf("%s-%d-%d", s.opts.Node, s.epoch.Token, s.serial)
 }
 
-// writePageLocked writes a page, fenced by the epoch and by its own version. What
-// does not fit it goes to other pages, in writes of their own; it is itself
+// writeBucketLocked writes a bucket, fenced by the epoch and by its own version. What
+// does not fit it goes to other buckets, in writes of their own; it is itself
 // written once those hold what it held.
-func (s *Scheduler) writePageLocked(p *page, priority state.Priority) {
+func (s *Scheduler) writeBucketLocked(p *bucket, priority state.Priority) {
 	for name := range p.machines {
 		s.dropStaleGuestsLocked(s.machines[name])
 	}
 	if p.empty() {
-		s.deletePageLocked(p, priority)
+		s.deleteBucketLocked(p, priority)
 		return
 	}
-	s.splitPageLocked(p, priority)
+	s.splitBucketLocked(p, priority)
 	if p.oversized {
 		return
 	}
-	pw := s.newPageWriteLocked(priority)
+	pw := s.newBucketWriteLocked(priority)
 	pw.consolidates = priority == state.Background
 	p.gathers = pw.consolidates
 	if pw.consolidates {
@@ -114,13 +114,13 @@
 	for name := range p.machines {
 		s.recordsMachineLocked(pw, s.machines[name])
 	}
-	s.putPageLocked(pw, p, content)
+	s.putBucketLocked(pw, p, content)
 }
 
-// deletePageLocked removes a page that holds nothing any more.
-func (s *Scheduler) deletePageLocked(p *page, priority state.Priority) {
+// deleteBucketLocked removes a bucket that holds nothing any more.
+func (s *Scheduler) deleteBucketLocked(p *bucket, priority state.Priority) {
 	if p.version == 0 {
-		delete(s.records.pages, p.key)
+		delete(s.records.buckets, p.key)
 		return
 	}
 	guard, err := s.cleanupGuard()
@@ -128,19 +128,19 @@
 		p.untidy = true // removed later
 		return
 	}
-	delete(s.records.pages, p.key)
-	pw := s.newPageWriteLocked(priority)
-	pw.page, pw.removes, p.committing = p, true, true
+	delete(s.records.buckets, p.key)
+	pw := s.newBucketWriteLocked(priority)
+	pw.bucket, pw.removes, p.committing = p, true, true
 	pw.write.If = append(pw.write.If, wire.Condition{Key: p.key, Version: p.version})
 	pw.write.Then = append(pw.write.Then, wire.Change{Delete: p.key})
 	pw.write = guard.Bind(pw.write)
 	s.goDo(func(ctx context.Context) { s.commit(ctx, pw) })
 }
 
-// splitPageLocked moves machines that do not fit a page to others, which are
-// written at once. Until then the page keeps its records of them, and if with
+// splitBucketLocked moves machines that do not fit a bucket to others, which are
+// written at once. Until then the bucket keeps its records of them, and if with
 // those it does not fit a value, it is not written.
-func (s *Scheduler) splitPageLocked(p *page, priority state.Priority) {
+func (s *Scheduler) splitBucketLocked(p *bucket, priority state.Priority) {
 	limit := s.valueLimit()
 	size := 0
 	for name, r := range p.leftover {
@@ -157,7 +157,7 @@
 		}
 	}
 	for len(moving) > 0 {
-		moving = s.moveToNewPageLocked(p, moving, priority)
+		moving = s.moveToNewBucketLocked(p, moving, priority)
 	}
 	kept := 0
 	for name, r := range p.leftover {
@@ -169,15 +169,15 @@
 	p.oversized = len(p.leftover) > 0 && kept > limit
 }
 
-// recordSizeLocked is how much the machine's record takes of a page at most.
+// recordSizeLocked is how much the machine's record takes of a bucket at most.
 func (s *Scheduler) recordSizeLocked(m *machine) int {
 	r := s.recordLocked(m, func(*fleet.Attempt) bool { return false })
 	return r.Size(m.Name)
 }
 
-// moveToNewPageLocked moves as many of the machines as fit from a page to a new
+// moveToNewBucketLocked moves as many of the machines as fit from a bucket to a new
 // one and writes that. It returns the others.
-func (s *Scheduler) moveToNewPageLocked(from *page, names []string, priority state.Priority) (others []string) {
+func (s *Scheduler) moveToNewBucketLocked(from *bucket, names []string, priority state.Priority) (others []string) {
 	to := s.records.add()
 	size := 0
 	for i, name := range names {
@@ -188,7 +188,7 @@
 		}
 		delete(from.machines, name)
 		to.machines[name] = true
-		m.page = to
+		m.bucket = to
 		if from.version == 0 {
 			continue
 		}
@@ -202,12 +202,12 @@
 			s.records.scatter(m, from)
 		}
 	}
-	s.writePageLocked(to, priority)
+	s.writeBucketLocked(to, priority)
 	return others
 }
 
-// recordsMachineLocked notes what a write of the machine's page records of it.
-func (s *Scheduler) recordsMachineLocked(pw *pageWrite, m *machine) {
+// recordsMachineLocked notes what a write of the machine's bucket records of it.
+func (s *Scheduler) recordsMachineLocked(pw *bucketWrite, m *machine) {
 	if len(m.elsewhere) > 0 {
 		pw.recorded = append(pw.recorded, m)
 	}
@@ -231,8 +231,8 @@
 	}
 }
 
-// contentLocked is what a page is to hold.
-func (s *Scheduler) contentLocked(p *page, pw *pageWrite) fleet.RecordBucket {
+// contentLocked is what a bucket is to hold.
+func (s *Scheduler) contentLocked(p *bucket, pw *bucketWrite) fleet.RecordBucket {
 	content := fleet.RecordBucket{Machines: make(map[string]fleet.Record, len(p.machines)), Write: s.markLocked()}
 	maps.Copy(content.Machines, p.leftover)
 	for name := range p.machines {
@@ -268,20 +268,20 @@
 	return item.Version, err == nil || errors.Is(err, state.ErrNotFound)
 }
 
-func (s *Scheduler) commit(ctx context.Context, pw *pageWrite) {
+func (s *Scheduler) commit(ctx context.Context, pw *bucketWrite) {
 	version, err := s.opts.Committer.Commit(ctx, pw.write)
 	known := err == nil
 	if err != nil {
-		version, known = s.reread(ctx, state.Placement, pw.page.key, err)
+		version, known = s.reread(ctx, state.Placement, pw.bucket.key, err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if pw.consolidates {
 		s.consolidating--
 	}
-	pw.page.committing = false
+	pw.bucket.committing = false
 	if known {
-		pw.page.version = version
+		pw.bucket.version = version
 	}
 	if err != nil {
 		s.notRecordedLocked(pw, err)
@@ -298,10 +298,10 @@
 const commitAgainAfter = 100 * time.Millisecond
 
 // recordedLocked draws the consequences of a write of records that was made.
-func (s *Scheduler) recordedLocked(pw *pageWrite) {
-	pw.page.size = pw.size
+func (s *Scheduler) recordedLocked(pw *bucketWrite) {
+	pw.bucket.size = pw.size
 	for _, m := range pw.recorded {
-		if m.page == pw.page {
+		if m.bucket == pw.bucket {
 			s.records.gathered(m)
 		}
 	}
@@ -310,8 +310,8 @@
 			a.Durable, a.InBucket = true, a.InBucket || !pw.journal
 			a.Journal = ""
 			if !a.InBucket {
-				a.Journal = pw.page.key
-				pw.page.journaled[m] = true
+				a.Journal = pw.bucket.key
+				pw.bucket.journaled[m] = true
 			}
 		}
 		if s.machines[m.Name] == m {
@@ -324,12 +324,12 @@
 }
 
 // notRecordedLocked draws the consequences of a write of records that failed.
-func (s *Scheduler) notRecordedLocked(pw *pageWrite, err error) {
+func (s *Scheduler) notRecordedLocked(pw *bucketWrite, err error) {
 	s.log.Debug("recording placements failed", "err", err)
-	pw.page.untidy = true
+	pw.bucket.untidy = true
 	if pw.removes {
 		// Else it would stay in the store for ever.
-		s.records.pages[pw.page.key] = pw.page
+		s.records.buckets[pw.bucket.key] = pw.bucket
 	}
 	for m := range pw.attempts {
 		m.dirty = true
@@ -348,7 +348,7 @@
 
 // dropUnsentLocked drops the placements of a job that is over, none of which
 // was sent.
-func (s *Scheduler) dropUnsentLocked(pw *pageWrite, id string) {
+func (s *Scheduler) dropUnsentLocked(pw *bucketWrite, id string) {
 	for m := range pw.attempts {
 		for _, a := range m.Attempts.All() {
 			if a.Job == id && a.NeverSent() {
--- a/internal/scheduler/done.go
+++ b/internal/scheduler/done.go
@@ -34,38 +34,38 @@
 	return min(max(leastFlushEvery, time.Duration(slower*float64(leastFlushEvery))), mostFlushEvery)
 }
 
-// donePageLimit is how many bytes the entries of a page of done tasks may come
+// doneBucketLimit is how many bytes the entries of a bucket of done tasks may come
 // to, unless there is only one.
-func (s *Scheduler) donePageLimit() int { return s.valueLimit() * 3 / 4 }
+func (s *Scheduler) doneBucketLimit() int { return s.valueLimit() * 3 / 4 }
 
-// doneKey names the n-th page of done tasks of the share.
+// doneKey names the n-th bucket of done tasks of the share.
 func (s *Scheduler) doneKey(n uint64) string {
 	return job.DoneBucketKey(s.opts.Node, s.epoch.Members[s.opts.Node].Since, n)
 }
 
-// takeDonePageLocked takes over what an owner that has gone left, for the jobs
+// takeDoneBucketLocked takes over what an owner that has gone left, for the jobs
 // that are still active.
-func (s *Scheduler) takeDonePageLocked(written *job.DoneBucket) {
-	for _, page := range s.done.adopt(written, s.opts.Jobs.Active) {
-		for id, chunks := range page.jobs {
+func (s *Scheduler) takeDoneBucketLocked(written *job.DoneBucket) {
+	for _, bucket := range s.done.adopt(written, s.opts.Jobs.Active) {
+		for id, chunks := range bucket.jobs {
 			js := s.jobs[id]
 			for chunk := range chunks {
-				if js != nil && js.donePages[chunk] == nil {
-					js.donePages[chunk] = page
+				if js != nil && js.doneBuckets[chunk] == nil {
+					js.doneBuckets[chunk] = bucket
 				}
 			}
 		}
 	}
 }
 
-// donePageWrite is one write of a page.
-type donePageWrite struct {
-	page    *donePage
+// doneBucketWrite is one write of a bucket.
+type doneBucketWrite struct {
+	bucket  *doneBucket
 	write   state.Write
-	entries []donePageEntry
+	entries []doneBucketEntry
 }
 
-type donePageEntry struct {
+type doneBucketEntry struct {
 	js       *jobState
 	chunk    int
 	attempts []*fleet.Attempt // that wait for it
@@ -77,86 +77,86 @@
 		return
 	}
 	s.done.flushed = now
-	due := map[*donePage]*donePageWrite{}
+	due := map[*doneBucket]*doneBucketWrite{}
 	for _, js := range s.jobs {
 		if !js.finishing {
 			s.flushJobLocked(js, due)
 		}
 	}
 	s.done.retire()
-	for _, page := range s.done.takeIdle() {
-		if due[page] == nil {
-			due[page] = &donePageWrite{page: page}
+	for _, bucket := range s.done.takeIdle() {
+		if due[bucket] == nil {
+			due[bucket] = &doneBucketWrite{bucket: bucket}
 		}
 	}
 	for _, dw := range due {
-		s.putDonePageLocked(dw)
+		s.putDoneBucketLocked(dw)
 	}
 }
 
-// flushJobLocked puts the job's done tasks on pages, and those pages among the ones
+// flushJobLocked puts the job's done tasks on buckets, and those buckets among the ones
 // to write.
-func (s *Scheduler) flushJobLocked(js *jobState, due map[*donePage]*donePageWrite) {
+func (s *Scheduler) flushJobLocked(js *jobState, due map[*doneBucket]*doneBucketWrite) {
 	for chunk := range js.dirty {
-		page := js.donePages[chunk]
-		if !s.done.holds(page) {
-			page = s.done.withRoom(job.EntrySize(js.rec.Job.Tasks, chunk))
-			js.donePages[chunk] = page
+		bucket := js.doneBuckets[chunk]
+		if !s.done.holds(bucket) {
+			bucket = s.done.withRoom(job.EntrySize(js.rec.Job.Tasks, chunk))
+			js.doneBuckets[chunk] = bucket
 		}
-		if page.committing {
+		if bucket.committing {
 			continue
 		}
-		page.put(js.rec.Job.ID, chunk, js.done.Block(chunk))
-		if due[page] == nil {
-			due[page] = &donePageWrite{page: page}
+		bucket.put(js.rec.Job.ID, chunk, js.done.Block(chunk))
+		if due[bucket] == nil {
+			due[bucket] = &doneBucketWrite{bucket: bucket}
 		}
-		due[page].entries = append(due[page].entries, donePageEntry{js: js, chunk: chunk, attempts: js.awaiting[chunk]})
+		due[bucket].entries = append(due[bucket].entries, doneBucketEntry{js: js, chunk: chunk, attempts: js.awaiting[chunk]})
 		delete(js.awaiting, chunk)
 		delete(js.dirty, chunk)
 	}
 }
 
-// putDonePageLocked writes a page, or removes one that holds nothing any more.
-func (s *Scheduler) putDonePageLocked(dw *donePageWrite) {
-	page := dw.page
-	write := state.Write{Priority: flushPriority, Persist: true, If: []wire.Condition{{Key: page.key, Version: page.version}}}
-	if len(page.jobs) == 0 {
+// putDoneBucketLocked writes a bucket, or removes one that holds nothing any more.
+func (s *Scheduler) putDoneBucketLocked(dw *doneBucketWrite) {
+	bucket := dw.bucket
+	write := state.Write{Priority: flushPriority, Persist: true, If: []wire.Condition{{Key: bucket.key, Version: bucket.version}}}
+	if len(bucket.jobs) == 0 {
 		guard, err := s.cleanupGuard()
 		if err != nil {
-			s.done.pages[page.key] = page // removed later
+			s.done.buckets[bucket.key] = bucket // removed later
 			return
 		}
-		write.Then = []wire.Change{{Delete: page.key}}
+		write.Then = []wire.Change{{Delete: bucket.key}}
 		write = guard.Bind(write)
 	} else {
-		value, err := json.Marshal(job.DoneBucket{Jobs: page.jobs, Write: s.markLocked()})
+		value, err := json.Marshal(job.DoneBucket{Jobs: bucket.jobs, Write: s.markLocked()})
 		if err != nil {
-			s.log.Error("encoding done tasks", "key", page.key, "err", err)
+			s.log.Error("encoding done tasks", "key", bucket.key, "err", err)
 		}
-		write.Then = []wire.Change{{Put: page.key, Value: value}}
+		write.Then = []wire.Change{{Put: bucket.key, Value: value}}
 	}
-	page.committing = true
+	bucket.committing = true
 	dw.write = s.fenceLocked().Bind(write)
-	s.goDo(func(ctx context.Context) { s.writeDonePage(ctx, dw) })
+	s.goDo(func(ctx context.Context) { s.writeDoneBucket(ctx, dw) })
 }
 
-func (s *Scheduler) writeDonePage(ctx context.Context, dw *donePageWrite) {
+func (s *Scheduler) writeDoneBucket(ctx context.Context, dw *doneBucketWrite) {
 	version, err := s.opts.Committer.Commit(ctx, dw.write)
 	known := err == nil
 	if err != nil {
-		version, known = s.reread(ctx, flushPriority, dw.page.key, err)
+		version, known = s.reread(ctx, flushPriority, dw.bucket.key, err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	dw.page.committing = false
+	dw.bucket.committing = false
 	if known {
-		dw.page.version = version
+		dw.bucket.version = version
 	}
 	if err != nil {
-		if len(dw.page.jobs) == 0 && dw.page.version > 0 && s.done.pages[dw.page.key] == nil {
-			s.done.pages[dw.page.key] = dw.page // else it would stay in the store for ever
+		if len(dw.bucket.jobs) == 0 && dw.bucket.version > 0 && s.done.buckets[dw.bucket.key] == nil {
+			s.done.buckets[dw.bucket.key] = dw.bucket // else it would stay in the store for ever
 		}
-		s.log.Debug("writing done tasks failed", "key", dw.page.key, "err", err)
+		s.log.Debug("writing done tasks failed", "key", dw.bucket.key, "err", err)
 		s.noteRejectedLocked(err)
 	}
 	for _, e := range dw.entries {
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -29,11 +29,11 @@
 	live  map[int]int
 	zones map[string]int
 
-	done      *job.DoneSet
-	dirty     map[int]bool             // chunks to write
-	awaiting  map[int][]*fleet.Attempt // by chunk: done, not yet in the store
-	donePages map[int]*donePage        // by chunk, where it is written
-	finishing bool                     // the job's end is being written
+	done        *job.DoneSet
+	dirty       map[int]bool             // chunks to write
+	awaiting    map[int][]*fleet.Attempt // by chunk: done, not yet in the store
+	doneBuckets map[int]*doneBucket      // by chunk, where it is written
+	finishing   bool                     // the job's end is being written
 
 	failedOn  map[string]bool
 	succeeded bool
@@ -129,7 +129,7 @@
 	j := &r.Job
 	js := &jobState{
 		rec: r, size: placement.Of(j), live: map[int]int{}, zones: map[string]int{},
-		done: &job.DoneSet{}, dirty: map[int]bool{}, awaiting: map[int][]*fleet.Attempt{}, donePages: map[int]*donePage{},
+		done: &job.DoneSet{}, dirty: map[int]bool{}, awaiting: map[int][]*fleet.Attempt{}, doneBuckets: map[int]*doneBucket{},
 		failedOn: map[string]bool{}, accepted: time.UnixMilli(r.AcceptedMs), within: s.objectives(j),
 	}
 	js.share, js.fetch = s.dominantShare(js.size), s.fetchTime(j)
--- a/internal/scheduler/journal.go
+++ b/internal/scheduler/journal.go
@@ -40,7 +40,7 @@
 // Whoever takes over reads what the journals hold together, so their number is
 // bounded: by what the tasks of so many machines fill, since in journals that are
 // too few for them nothing is over before its journal is written again, and the
-// pages take the writes that users wait for.
+// buckets take the writes that users wait for.
 const (
 	leastJournals   = 8
 	bytesPerMachine = 820 // of journals
@@ -51,7 +51,7 @@
 }
 
 // nextJournalLocked returns the journal to write, nil if there is none now.
-func (s *Scheduler) nextJournalLocked(limit int) *page {
+func (s *Scheduler) nextJournalLocked(limit int) *bucket {
 	journal, full := s.records.nextJournal(limit, s.maxJournals())
 	if full != nil && !s.checkpointingLocked() {
 		for m := range s.records.extracts(full) {
@@ -66,7 +66,7 @@
 // attempts.
 func (m *machine) extractSize() int {
 	size := fleet.RecordBytes(m.Name)
-	if !m.paged() {
+	if !m.bucketWritten() {
 		size += m.PlaceBytes()
 	}
 	return size
@@ -81,7 +81,7 @@
 	if journal == nil || journal.committing {
 		return false
 	}
-	pw := s.newPageWriteLocked(state.Placement)
+	pw := s.newBucketWriteLocked(state.Placement)
 	pw.journal = true
 	content := fleet.RecordBucket{Machines: map[string]fleet.Record{}, Write: s.markLocked()}
 	size := 0
@@ -106,7 +106,7 @@
 				continue
 			}
 			if !begun {
-				r, _ := m.JournalRecord(journal.key, m.paged())
+				r, _ := m.JournalRecord(journal.key, m.bucketWritten())
 				r.Attempts = map[string]uint64{}
 				content.Machines[m.Name] = r
 			}
@@ -118,14 +118,14 @@
 	if len(pw.attempts) == 0 {
 		return false
 	}
-	s.putPageLocked(pw, journal, content)
+	s.putBucketLocked(pw, journal, content)
 	return true
 }
 
-// checkpointingLocked tells whether pages are still due since the journals last
+// checkpointingLocked tells whether buckets are still due since the journals last
 // filled: what they gain meanwhile goes with the next round of them.
 func (s *Scheduler) checkpointingLocked() bool {
-	for _, p := range s.records.pages {
+	for _, p := range s.records.buckets {
 		if p.committing && !p.gathers && !s.records.writesJournal(p) {
 			return true
 		}
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -25,7 +25,7 @@
 	s.disownLocked(&epoch)
 	s.mu.Unlock()
 
-	var r records
+	var r storedRecords
 	var err error
 	if first || leads || len(adopt) > 0 || len(gained) > 0 || s.gainsLimit(&epoch) {
 		r, err = s.readRecords(ctx)
@@ -73,7 +73,7 @@
 	if s.epoch.Leader == s.opts.Node {
 		for i := range r.done {
 			if node, since, ok := job.DoneBucketOwner(r.done[i].Key); !ok || s.epoch.Members[node].Since != since {
-				s.takeDonePageLocked(&r.done[i])
+				s.takeDoneBucketLocked(&r.done[i])
 			}
 		}
 	}
@@ -110,15 +110,15 @@
 	}
 }
 
-// records is what the store holds of machines and done tasks.
-type records struct {
-	pages []recordPage
-	done  []job.DoneBucket
-	ended map[string]job.Outcome // jobs named on machines that are over
+// storedRecords is what the store holds of machines and done tasks.
+type storedRecords struct {
+	buckets []storedBucket
+	done    []job.DoneBucket
+	ended   map[string]job.Outcome // jobs named on machines that are over
 }
 
-// recordPage is a key with machines' records, as read.
-type recordPage struct {
+// storedBucket is a key with machines' records, as read.
+type storedBucket struct {
 	fleet.RecordBucket
 	key     string
 	version uint64
@@ -128,19 +128,19 @@
 // resolvers is how many jobs are looked up at once.
 const resolvers = 8
 
-func (s *Scheduler) readRecords(ctx context.Context) (r records, err error) {
+func (s *Scheduler) readRecords(ctx context.Context) (r storedRecords, err error) {
 	items, _, err := s.opts.Records.List(ctx, state.Urgent, fleet.RecordPrefix)
 	if err != nil {
 		return r, err
 	}
 	newest := map[string]uint64{}
 	for _, item := range items {
-		page, err := fleet.ReadBucket(item.Key, item.Value)
+		bucket, err := fleet.ReadBucket(item.Key, item.Value)
 		if err != nil {
 			return r, err
 		}
-		r.pages = append(r.pages, recordPage{RecordBucket: page, key: item.Key, version: item.Version, size: len(item.Value)})
-		for _, record := range page.Machines {
+		r.buckets = append(r.buckets, storedBucket{RecordBucket: bucket, key: item.Key, version: item.Version, size: len(item.Value)})
+		for _, record := range bucket.Machines {
 			for task, attempt := range record.Attempts {
 				newest[task] = max(newest[task], attempt)
 			}
@@ -151,11 +151,11 @@
 	}
 	r.ended = map[string]job.Outcome{}
 	unknown := map[string]bool{}
-	for _, page := range r.pages {
-		for _, record := range page.Machines {
+	for _, bucket := range r.buckets {
+		for _, record := range bucket.Machines {
 			for task, attempt := range record.Attempts {
 				// A newer attempt was recorded, which is done only once the
-				// older one has surely gone. A page that was not written
+				// older one has surely gone. A bucket that was not written
 				// since still names it.
 				if attempt < newest[task] {
 					delete(record.Attempts, task)
@@ -187,7 +187,7 @@
 // placeRecordsLocked takes from the records what may be on machines: on those
 // that are adopted, and on others' as far as own jobs are concerned. It
 // returns how many machines were adopted.
-func (s *Scheduler) placeRecordsLocked(r records, adopt []string, gained map[string]bool, now time.Time) int {
+func (s *Scheduler) placeRecordsLocked(r storedRecords, adopt []string, gained map[string]bool, now time.Time) int {
 	// Guests here whose jobs have become ours.
 	for _, m := range s.machines {
 		for _, a := range m.Attempts.All() {
@@ -200,12 +200,12 @@
 		}
 	}
 	found := map[string]*fleet.Machine{}
-	on := map[string][]*page{}
-	for _, rp := range r.pages {
-		p := s.takePageLocked(rp)
+	on := map[string][]*bucket{}
+	for _, rp := range r.buckets {
+		p := s.takeBucketLocked(rp)
 		for name, record := range rp.Machines {
 			// By this division, also while the next one begins: a machine that is
-			// ours only by that one, without the page that holds its record, had
+			// ours only by that one, without the bucket that holds its record, had
 			// that record removed as nobody's (ran_twice).
 			host := s.opts.Authority.HostOf(&s.epoch.Epoch, name)
 			switch {
@@ -239,20 +239,20 @@
 	return len(found)
 }
 
-// takePageLocked takes over a page whose owner's membership is over: the leader
-// does, as it does with the machines. It returns nil for another's page, and
+// takeBucketLocked takes over a bucket whose owner's membership is over: the leader
+// does, as it does with the machines. It returns nil for another's bucket, and
 // for one that is this share's already: what that says of a machine that is
 // only now taken is from before the machine was given away, idle.
-func (s *Scheduler) takePageLocked(rp recordPage) *page {
-	if s.records.pages[rp.key] != nil {
+func (s *Scheduler) takeBucketLocked(rp storedBucket) *bucket {
+	if s.records.buckets[rp.key] != nil {
 		return nil
 	}
 	node, since, ok := fleet.BucketOwner(rp.key)
 	if s.epoch.Leader != s.opts.Node || ok && s.epoch.Members[node].Since == since {
 		return nil
 	}
-	p := &page{key: rp.key, version: rp.version, size: rp.size, machines: map[string]bool{}, untidy: true, written: time.Now(), leftover: map[string]fleet.Record{}}
-	s.records.pages[p.key] = p
+	p := &bucket{key: rp.key, version: rp.version, size: rp.size, machines: map[string]bool{}, untidy: true, written: time.Now(), leftover: map[string]fleet.Record{}}
+	s.records.buckets[p.key] = p
 	return p
 }
 
@@ -270,14 +270,14 @@
 }
 
 // adoptMachineLocked takes a machine with what the records say may be on it.
-// on are the pages that hold those: the first is its own from now on.
-func (s *Scheduler) adoptMachineLocked(fm *fleet.Machine, on []*page, ended map[string]job.Outcome, now time.Time) {
+// on are the buckets that hold those: the first is its own from now on.
+func (s *Scheduler) adoptMachineLocked(fm *fleet.Machine, on []*bucket, ended map[string]job.Outcome, now time.Time) {
 	answered := s.answeredEarly[fm.Name]
 	m := s.addMachineLocked(fm, now)
 	m.LastReply = answered
 	if len(on) > 0 && !fleet.IsJournal(on[0].key) {
-		m.page, on = on[0], on[1:]
-		m.page.machines[m.Name] = true
+		m.bucket, on = on[0], on[1:]
+		m.bucket.machines[m.Name] = true
 	}
 	s.records.scatter(m, on...)
 	over := map[string]job.Outcome{}
--- a/internal/scheduler/recordtable.go
+++ b/internal/scheduler/recordtable.go
@@ -7,10 +7,10 @@
 	"heronwick/internal/fleet"
 )
 
-// page is one key of the store with the records of some dozens of the share's
+// bucket is one key of the store with the records of some dozens of the share's
 // machines. Only this share writes it, and only one write of it is under way
 // at a time.
-type page struct {
+type bucket struct {
 	key        string
 	version    uint64
 	size       int             // bytes of what it holds
@@ -19,51 +19,51 @@
 	gathers    bool      // that write only gathers what is recorded already
 	written    time.Time // when a write of it last began, or it was taken over
 	// oversized: with what it still holds of machines that now belong on other
-	// pages it does not fit a value. It is written once those have been.
+	// buckets it does not fit a value. It is written once those have been.
 	oversized bool
 	untidy    bool // what the store holds names machines that are no longer here
-	// leftover holds, by machine, what the page says of machines that now
-	// belong on another one, until that one has been written: a page written
+	// leftover holds, by machine, what the bucket says of machines that now
+	// belong on another one, until that one has been written: a bucket written
 	// without it before would leave no record of what may be on the machine.
 	leftover map[string]fleet.Record
 	// journaled are, of a journal, the machines with attempts that it alone may hold.
 	journaled map[*machine]bool
 }
 
-// writable tells whether the page can be written now.
-func (p *page) writable() bool { return !p.committing && !p.oversized }
+// writable tells whether the bucket can be written now.
+func (p *bucket) writable() bool { return !p.committing && !p.oversized }
 
-// empty tells whether the page holds nothing any more.
-func (p *page) empty() bool { return len(p.machines)+len(p.leftover) == 0 }
+// empty tells whether the bucket holds nothing any more.
+func (p *bucket) empty() bool { return len(p.machines)+len(p.leftover) == 0 }
 
-// recordTable is the share's pages and journals: which there are, which machines'
+// recordTable is the share's buckets and journals: which there are, which machines'
 // records belong on each, and where there is room. It writes nothing.
 type recordTable struct {
-	pages     map[string]*page  // the keys that hold the machines' records, journals among them
-	scattered map[*machine]bool // of which several pages hold a record
-	journals  []*page           // of this share: hold what the pages do not hold yet
-	journal   *page             // the one that is written at present
-	named     uint64            // pages named so far
-	// pageKey and journalKey name new ones of this share.
-	pageKey    func(n uint64) string
+	buckets   map[string]*bucket // the keys that hold the machines' records, journals among them
+	scattered map[*machine]bool  // of which several buckets hold a record
+	journals  []*bucket          // of this share: hold what the buckets do not hold yet
+	journal   *bucket            // the one that is written at present
+	named     uint64             // buckets named so far
+	// bucketKey and journalKey name new ones of this share.
+	bucketKey  func(n uint64) string
 	journalKey func(n int) string
-	// pageLimit is how many bytes a page may come to that takes another machine.
-	pageLimit func() int
+	// bucketLimit is how many bytes a bucket may come to that takes another machine.
+	bucketLimit func() int
 	// owns tells whether a machine is still the share's.
 	owns func(m *machine) bool
 }
 
-// withRoom returns the page for a machine that has none: the fullest with room for
-// another record, so that few pages change.
-func (t *recordTable) withRoom() *page {
-	var best *page
-	for _, p := range t.pages {
+// withRoom returns the bucket for a machine that has none: the fullest with room for
+// another record, so that few buckets change.
+func (t *recordTable) withRoom() *bucket {
+	var best *bucket
+	for _, p := range t.buckets {
 		if fleet.IsJournal(p.key) || p.oversized {
 			continue
 		}
 		// What is booked since the last write is not in its size yet.
 		each := max(p.size/max(len(p.machines), 1), 512)
-		if each*(len(p.machines)+1) <= t.pageLimit() && (best == nil || len(p.machines) > len(best.machines) ||
+		if each*(len(p.machines)+1) <= t.bucketLimit() && (best == nil || len(p.machines) > len(best.machines) ||
 			len(p.machines) == len(best.machines) && p.key < best.key) {
 			best = p
 		}
@@ -74,34 +74,34 @@
 	return t.add()
 }
 
-func (t *recordTable) add() *page {
+func (t *recordTable) add() *bucket {
 	t.named++
-	p := &page{key: t.pageKey(t.named), machines: map[string]bool{}}
-	t.pages[p.key] = p
+	p := &bucket{key: t.bucketKey(t.named), machines: map[string]bool{}}
+	t.buckets[p.key] = p
 	return p
 }
 
-// assign gives a machine a page if it has none.
+// assign gives a machine a bucket if it has none.
 func (t *recordTable) assign(m *machine) {
-	if m.page == nil {
-		m.page = t.withRoom()
-		m.page.machines[m.Name] = true
+	if m.bucket == nil {
+		m.bucket = t.withRoom()
+		m.bucket.machines[m.Name] = true
 	}
 }
 
-// leave takes a machine that is no longer the share's off its page. Until the page
+// leave takes a machine that is no longer the share's off its bucket. Until the bucket
 // is written again its record there is outdated, which is safe: whoever reads it
 // asks the machine's owner or its worker.
 func (t *recordTable) leave(m *machine) {
-	if m.page != nil {
-		delete(m.page.machines, m.Name)
-		m.page.untidy = m.page.untidy || m.page.version > 0
-		m.page = nil
+	if m.bucket != nil {
+		delete(m.bucket.machines, m.Name)
+		m.bucket.untidy = m.bucket.untidy || m.bucket.version > 0
+		m.bucket = nil
 	}
 	t.gathered(m)
 }
 
-// gathered ends the keeping of the machine's records on other pages: its own page
+// gathered ends the keeping of the machine's records on other buckets: its own bucket
 // holds what may be on it, or nothing is.
 func (t *recordTable) gathered(m *machine) {
 	for _, p := range m.elsewhere {
@@ -112,8 +112,8 @@
 	delete(t.scattered, m)
 }
 
-// scatter notes that pages besides the machine's own still hold a record of it.
-func (t *recordTable) scatter(m *machine, on ...*page) {
+// scatter notes that buckets besides the machine's own still hold a record of it.
+func (t *recordTable) scatter(m *machine, on ...*bucket) {
 	if len(on) == 0 {
 		return
 	}
@@ -121,20 +121,20 @@
 	t.scattered[m] = true
 }
 
-// writesJournal tells whether the page is one of this share's journals.
-func (t *recordTable) writesJournal(p *page) bool { return slices.Contains(t.journals, p) }
+// writesJournal tells whether the bucket is one of this share's journals.
+func (t *recordTable) writesJournal(p *bucket) bool { return slices.Contains(t.journals, p) }
 
 // nextJournal returns the journal to write, nil if there is none now. Most tasks are
-// over before their journal is written again, and so never come onto a page. It
+// over before their journal is written again, and so never come onto a bucket. It
 // stays the same until what still runs fills three quarters of it, and goes on with
 // the emptiest. When all of so many are half full, it also returns the fullest: the
-// pages of its machines are due.
-func (t *recordTable) nextJournal(limit, most int) (journal, full *page) {
+// buckets of its machines are due.
+func (t *recordTable) nextJournal(limit, most int) (journal, full *bucket) {
 	if t.journal != nil && !t.journal.committing && t.held(t.journal) < limit*3/4 {
 		return t.journal, nil
 	}
-	var least *page
-	held := map[*page]int{}
+	var least *bucket
+	held := map[*bucket]int{}
 	for _, j := range t.journals {
 		held[j] = t.held(j)
 		if !j.committing && (least == nil || held[j] < held[least]) {
@@ -154,15 +154,15 @@
 	return least, full
 }
 
-func (t *recordTable) addJournal() *page {
-	journal := &page{key: t.journalKey(len(t.journals)), journaled: map[*machine]bool{}}
+func (t *recordTable) addJournal() *bucket {
+	journal := &bucket{key: t.journalKey(len(t.journals)), journaled: map[*machine]bool{}}
 	t.journals = append(t.journals, journal)
-	t.pages[journal.key] = journal
+	t.buckets[journal.key] = journal
 	return journal
 }
 
 // held is about how many bytes a journal must hold.
-func (t *recordTable) held(journal *page) (held int) {
+func (t *recordTable) held(journal *bucket) (held int) {
 	for m := range journal.journaled {
 		if !t.owns(m) {
 			continue
@@ -184,10 +184,10 @@
 
 // extracts returns what the journal alone holds of the share's machines, and forgets
 // those of which it holds nothing any more.
-func (t *recordTable) extracts(journal *page) map[*machine]fleet.Record {
+func (t *recordTable) extracts(journal *bucket) map[*machine]fleet.Record {
 	extracts := make(map[*machine]fleet.Record, len(journal.journaled))
 	for m := range journal.journaled {
-		r, ok := m.JournalRecord(journal.key, m.paged())
+		r, ok := m.JournalRecord(journal.key, m.bucketWritten())
 		if !ok || !t.owns(m) {
 			delete(journal.journaled, m)
 			continue
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -112,11 +112,11 @@
 // machine is a machine that the scheduler owns, with its decisions about it.
 type machine struct {
 	*fleet.Machine
-	page             *page   // where its record is; nil: it has none
-	elsewhere        []*page // that still hold a record of it
-	dirty            bool    // it has attempts that are on no record yet
-	due              bool    // its page must be written
-	sending          bool    // a direct command is under way
+	bucket           *bucket   // where its record is; nil: it has none
+	elsewhere        []*bucket // that still hold a record of it
+	dirty            bool      // it has attempts that are on no record yet
+	due              bool      // its bucket must be written
+	sending          bool      // a direct command is under way
 	sendAgain        bool
 	looked           uint64 // the pass that found the next two
 	usable           bool
@@ -185,7 +185,7 @@
 	records           *recordTable
 	journaled         time.Time       // when one may next be written
 	journalDue        bool            // and it waits to be written again
-	consolidating     int             // pages that are written only to gather what several hold
+	consolidating     int             // buckets that are written only to gather what several hold
 	valuesCut         int             // bytes by which values are smaller than the settings allow
 	done              *doneTable      // the keys that hold done tasks
 	moving            map[string]bool // machines whose owner is being written
@@ -228,11 +228,11 @@
 		peerRequests: map[string]*peerRequestState{}, moving: map[string]bool{},
 	}
 	s.records = &recordTable{
-		pages: map[string]*page{}, scattered: map[*machine]bool{},
-		pageKey: s.pageKey, journalKey: s.journalKey, pageLimit: s.pageLimit,
+		buckets: map[string]*bucket{}, scattered: map[*machine]bool{},
+		bucketKey: s.bucketKey, journalKey: s.journalKey, bucketLimit: s.bucketLimit,
 		owns: func(m *machine) bool { return s.machines[m.Name] == m },
 	}
-	s.done = newDoneTable(s.doneKey, s.donePageLimit)
+	s.done = newDoneTable(s.doneKey, s.doneBucketLimit)
 	s.syncRate, s.probeRate = syncRate(opts.Settings.CoreShare), probeRate(opts.Settings.CoreShare)
 	for i := range opts.Types {
 		s.types[opts.Types[i].Name] = &opts.Types[i]
