--- a/internal/job/store.go
+++ b/internal/job/store.go
@@ -1,9 +1,3 @@
-// Package job keeps the records of jobs: accepting, cancelling and finishing
-// them, and answering for them without ever going backwards.
-//
-// A job that is not over has one key under jobs/active/, written once; its
-// end removes that key and writes one under jobs/final/, in one transaction.
-// So a cached record that still has its version is the truth.
 package job
 
 import (
@@ -38,42 +32,6 @@
 // controller that would start them too early may still run.
 var ErrDependenciesNotSupported = errors.New("not every controller supports jobs that need others yet")
 
-// Record is an accepted job.
-type Record struct {
-	Job wire.Job `json:"job"`
-	// AcceptedMs is the time of day of acceptance. It orders jobs and places
-	// deadlines; no safety depends on it.
-	AcceptedMs int64  `json:"accepted_ms"`
-	Version    uint64 `json:"-"`
-}
-
-// Condition holds while the job is not over.
-func (r *Record) Condition() wire.Condition {
-	return wire.Condition{Key: activePrefix + r.Job.ID, Version: r.Version}
-}
-
-// IsActive returns the job whose active record key is, if it is one.
-func IsActive(key string) (id string, ok bool) {
-	if len(key) > len(activePrefix) && key[:len(activePrefix)] == activePrefix {
-		return key[len(activePrefix):], true
-	}
-	return "", false
-}
-
-// Outcome is the record of a job that is over. It keeps what the tasks take and
-// whose quota they use, since some may still be on machines.
-type Outcome struct {
-	State    wire.JobState `json:"state"`
-	Tasks    int           `json:"tasks"`
-	Team     string        `json:"team"`
-	CPUs     float64       `json:"cpus"`
-	GPUs     float64       `json:"gpus"`
-	MemoryGB float64       `json:"memory_gb"`
-	// EndedMs is the time of day of the end: the jobs after it count their times
-	// from there. The version before this one did not write it.
-	EndedMs int64 `json:"ended_ms,omitempty"`
-}
-
 // Listener hears of jobs that come and go, in no lock of the store's.
 type Listener interface {
 	JobAdded(r *Record)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,5 +1,3 @@
-// Package placement holds the Move To Front list of open machines and the
-// rules of what fits where. It is pure: no I/O and no clock.
 package placement
 
 import (
