--- a/cmd/heronwick/controller.go
+++ b/cmd/heronwick/controller.go
@@ -28,7 +28,7 @@
 
 // peer is another controller, as the wiring uses it.
 type peer interface {
-	cluster.Beater
+	cluster.PeerClient
 	state.Doer
 	Place(ctx context.Context, req *peerpb.PlaceRequest) (*peerpb.PlaceReply, error)
 	Settle(ctx context.Context, req *peerpb.SettleRequest) (*peerpb.SettleReply, error)
@@ -107,7 +107,7 @@
 		AcceptsDependencies: func() bool { return c.members.Supports(cluster.LevelChains) },
 	})
 	c.offers = cloud.NewTypeCache(out.cloud, c.client, settings.ValueBytes, log)
-	beaters := map[string]cluster.Beater{}
+	beaters := map[string]cluster.PeerClient{}
 	for node, p := range out.peers {
 		beaters[node] = p
 	}
@@ -280,7 +280,7 @@
 			Value: func() float64 { return float64(c.chains.endangered.Load()) }},
 		{Name: "heronwick_permitted", Help: "1 while this controller may answer workers.",
 			Value: func() float64 {
-				if c.members.Permitted() {
+				if c.members.CanAnswerHeartbeats() {
 					return 1
 				}
 				return 0
@@ -330,7 +330,7 @@
 	if home == c.settings.Node {
 		return nil, ""
 	}
-	c.members.HeardWorker(r.Machine)
+	c.members.NoteWorkerHeartbeat(r.Machine)
 	return nil, home
 }
 
@@ -343,7 +343,7 @@
 		return false
 	}
 	if c.route.OK(3 * time.Second) {
-		return !c.members.Lonely()
+		return !c.members.Isolated()
 	}
 	return c.members.PeersAlive() > 0 && len(c.members.StatePeers()) == 0
 }
--- a/internal/cluster/authority.go
+++ b/internal/cluster/authority.go
@@ -5,53 +5,54 @@
 	"time"
 )
 
-// fence collects, for the current epoch, the proof that nobody answers
-// workers under an older one.
+// fence collects, for the current epoch, the acknowledgements that show that
+// no controller answers heartbeats under an older one.
 type fence struct {
 	acked      map[string]bool // peers that know this epoch
 	majorityAt time.Time
 	allAt      time.Time
 }
 
-// proof: since at, nobody answers workers under an epoch older than token.
-type proof struct {
+// fenceRecord says that from at on, no controller answers heartbeats under an
+// epoch older than token.
+type fenceRecord struct {
 	token uint64
 	at    time.Time
 }
 
-// leastPermission is as long as a permission must be at least: a few beats.
-const leastPermission = 2500 * time.Millisecond
+// minConfirmationTTL is the shortest confirmation TTL: a few heartbeat intervals.
+const minConfirmationTTL = 2500 * time.Millisecond
 
-// lapseSlack is how much later than a lease after its last renewal a worker
-// has surely ended its tasks: its clock drifts, and it looks now and then.
-func lapseSlack(lease time.Duration) time.Duration { return lease/1000 + 500*time.Millisecond }
+// leaseExpirySlack is how long after its lease expiry a worker has surely
+// ended its tasks: its clock drifts, and it checks the lease periodically.
+func leaseExpirySlack(lease time.Duration) time.Duration { return lease/1000 + 500*time.Millisecond }
 
-// permissionFor is how long a controller may answer workers on one proof: a
-// quarter of a lease, and no longer than leaves time for a lease to lapse
-// after it before a cancelled job's tasks must be gone. inTime is false if the
-// settings leave no such time.
-func permissionFor(lease, cancelIn time.Duration) (permission time.Duration, inTime bool) {
-	permission = lease / 4
-	room := cancelIn - lease - lapseSlack(lease)
-	if room < min(permission, leastPermission) {
-		return min(permission, leastPermission), false
+// confirmationTTLFor is how long a controller may answer heartbeats after one
+// confirmation that its epoch is current: a quarter of a worker lease, and no
+// longer than leaves time for a lease expiry before a cancelled job's tasks
+// must be gone. fits is false if the settings leave no such time.
+func confirmationTTLFor(lease, cancelIn time.Duration) (ttl time.Duration, fits bool) {
+	ttl = lease / 4
+	room := cancelIn - lease - leaseExpirySlack(lease)
+	if room < min(ttl, minConfirmationTTL) {
+		return min(ttl, minConfirmationTTL), false
 	}
-	return min(permission, room), true
+	return min(ttl, room), true
 }
 
-// Permitted tells whether this controller may answer workers' reports now: it
-// is a member, and proof that its epoch is current was asked for a short while
-// ago. Without the bound, a controller cut off from everything but some
+// CanAnswerHeartbeats tells whether this controller may answer workers'
+// heartbeats now: it is a member, and a confirmation that its epoch is current
+// was asked for within the confirmation TTL. Without the bound, a controller cut off from everything but some
 // workers would renew their leases for ever, and nobody could ever count them
-// as lapsed.
-func (c *Cluster) Permitted() bool {
+// as expired.
+func (c *Cluster) CanAnswerHeartbeats() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.permittedLocked()
+	return c.canAnswerHeartbeatsLocked()
 }
 
-func (c *Cluster) permittedLocked() bool {
-	return c.memberLocked() && time.Since(c.confirmed) < c.permission
+func (c *Cluster) canAnswerHeartbeatsLocked() bool {
+	return c.memberLocked() && time.Since(c.confirmed) < c.confirmationTTL
 }
 
 // Membership is the cluster as seen by the share of one membership. A share whose
@@ -67,7 +68,7 @@
 func (m *Membership) FencingToken() (token uint64, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.epoch.Token, m.permittedLocked() && m.epoch.Members[m.opts.Node].Since == m.since
+	return m.epoch.Token, m.canAnswerHeartbeatsLocked() && m.epoch.Members[m.opts.Node].Since == m.since
 }
 
 // FencedSince returns since when surely no controller has answered a worker under
@@ -76,7 +77,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.noteFenceLocked()
-	for _, p := range c.proven {
+	for _, p := range c.fenceRecords {
 		if p.token >= token {
 			return p.at, true
 		}
@@ -98,7 +99,7 @@
 }
 
 func (c *Cluster) noteFenceLocked() {
-	if !c.memberLocked() || len(c.proven) > 0 && c.proven[len(c.proven)-1].token >= c.epoch.Token {
+	if !c.memberLocked() || len(c.fenceRecords) > 0 && c.fenceRecords[len(c.fenceRecords)-1].token >= c.epoch.Token {
 		return
 	}
 	now := time.Now()
@@ -111,7 +112,7 @@
 	at := c.fence.allAt
 	if !c.fence.majorityAt.IsZero() {
 		// Clocks of two machines drift apart by up to 0.05%.
-		bound := c.fence.majorityAt.Add(c.permission + c.permission/1000)
+		bound := c.fence.majorityAt.Add(c.confirmationTTL + c.confirmationTTL/1000)
 		if at.IsZero() || bound.Before(at) {
 			at = bound
 		}
@@ -121,9 +122,9 @@
 	}
 	// Proof for this epoch is proof for all older ones; a few are kept so
 	// that a machine taken under an older epoch keeps its earlier date.
-	c.proven = append(c.proven, proof{token: c.epoch.Token, at: at})
-	if len(c.proven) > 64 {
-		c.proven = c.proven[1:]
+	c.fenceRecords = append(c.fenceRecords, fenceRecord{token: c.epoch.Token, at: at})
+	if len(c.fenceRecords) > 64 {
+		c.fenceRecords = c.fenceRecords[1:]
 	}
 }
 
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -30,10 +30,10 @@
 )
 
 const (
-	beatEvery = time.Second
-	watchFor  = 4 * time.Second // a refused controller's open watch stays silent: look elsewhere soon
-	// shunFor keeps out a member that could not reach its workers.
-	shunFor = 15 * time.Second
+	heartbeatInterval = time.Second
+	watchFor          = 4 * time.Second // a refused controller's open watch stays silent: look elsewhere soon
+	// exclusionPeriod keeps out a member that could not reach its workers.
+	exclusionPeriod = 15 * time.Second
 )
 
 // timeouts are how long this controller waits for the others. One that is short of
@@ -42,16 +42,16 @@
 type timeouts struct {
 	// leaderTTL is how long a silent leader keeps the others waiting. Renewing
 	// four times within it rides out a lost request.
-	leaderTTL   time.Duration
-	beatTimeout time.Duration
-	peerSilence time.Duration // a peer counts as heard from
-	deadAfter   time.Duration // when a member that does not answer loses its share
+	leaderTTL        time.Duration
+	heartbeatTimeout time.Duration
+	peerSilence      time.Duration // a peer counts as heard from
+	deadAfter        time.Duration // when a member that does not answer loses its share
 }
 
 func newTimeouts(slowness float64) timeouts {
 	times := func(d time.Duration) time.Duration { return time.Duration(float64(d) * max(1, slowness)) }
-	return timeouts{leaderTTL: times(3 * time.Second), beatTimeout: times(time.Second),
-		peerSilence: times(3 * beatEvery), deadAfter: times(2500 * time.Millisecond)}
+	return timeouts{leaderTTL: times(3 * time.Second), heartbeatTimeout: times(time.Second),
+		peerSilence: times(3 * heartbeatInterval), deadAfter: times(2500 * time.Millisecond)}
 }
 
 // Options are what a Cluster needs.
@@ -63,9 +63,9 @@
 	Teams    []string
 	MaxValue int
 	Route    *state.Route
-	Peers    map[string]Beater
-	// LeaseFor is the workers' lease; the permission to answer their reports
-	// without a fresh confirmation of the epoch is a quarter of it.
+	Peers    map[string]PeerClient
+	// LeaseFor is the workers' lease; the confirmation TTL for answering their heartbeats
+	// without a fresh confirmation of the epoch is at most a quarter of it.
 	LeaseFor time.Duration
 	// CancelIn is by when a cancelled job's tasks must be gone.
 	CancelIn      time.Duration
@@ -101,13 +101,13 @@
 
 // Cluster is this controller's view of the deployment.
 type Cluster struct {
-	opts        Options
-	incarnation uint64
-	begun       time.Time
-	timeouts    timeouts
-	permission  time.Duration
-	inTime      bool          // after a permission a lease lapses within CancelIn
-	changed     chan struct{} // poked when the epoch or the leader key changes
+	opts             Options
+	incarnation      uint64
+	begun            time.Time
+	timeouts         timeouts
+	confirmationTTL  time.Duration
+	expiryFitsCancel bool          // a lease expiry after the confirmation TTL fits within CancelIn
+	changed          chan struct{} // poked when the epoch or the leader key changes
 
 	mu            sync.Mutex
 	epoch         Epoch
@@ -118,12 +118,12 @@
 	revision      uint64
 	lease         uint64
 	resigned      time.Time // when this leader asked the others to take over
-	lapsed        bool      // a member without permission, as logged
+	unconfirmed   bool      // a member whose confirmation TTL ran out, as logged
 	confirmed     time.Time // when the last proof that the epoch is current was asked for, cancellations included
 	caughtUp      time.Time // when the store last showed all cancellations
 	peers         map[string]*peer
 	fence         fence
-	proven        []proof
+	fenceRecords  []fenceRecord
 	owners        map[string]Owner    // by machine
 	transfers     map[string]transfer // by key
 	written       uint64              // transfers written
@@ -146,9 +146,9 @@
 		owners:       map[string]Owner{},
 		transfers:    map[string]transfer{},
 	}
-	if c.permission, c.inTime = permissionFor(opts.LeaseFor, opts.CancelIn); !c.inTime {
+	if c.confirmationTTL, c.expiryFitsCancel = confirmationTTLFor(opts.LeaseFor, opts.CancelIn); !c.expiryFitsCancel {
 		opts.Log.Warn("cancel_s leaves too little time for a lease to lapse: cancellations are confirmed only once every controller knows them",
-			"lease", opts.LeaseFor, "cancel_in", opts.CancelIn, "needed", opts.LeaseFor+lapseSlack(opts.LeaseFor)+leastPermission)
+			"lease", opts.LeaseFor, "cancel_in", opts.CancelIn, "needed", opts.LeaseFor+leaseExpirySlack(opts.LeaseFor)+minConfirmationTTL)
 	}
 	nodes := []string{opts.Node}
 	for node, client := range opts.Peers {
@@ -169,7 +169,7 @@
 	g.Go(func() error { return c.runElection(ctx) })
 	g.Go(func() error { return c.tidyUp(ctx) })
 	for _, p := range c.peers {
-		g.Go(func() error { return c.beat(ctx, p) })
+		g.Go(func() error { return c.runHeartbeats(ctx, p) })
 	}
 	return g.Wait()
 }
--- a/internal/cluster/division.go
+++ b/internal/cluster/division.go
@@ -104,16 +104,16 @@
 		member := next.Members[node].Incarnation
 		alive := !p.lastSeen.IsZero() && now.Sub(p.lastSeen) < c.timeouts.deadAfter
 		if alive && member != 0 && p.status.Cut && p.status.Incarnation == member && p.workersElsewhere(c) {
-			p.shunned = now.Add(shunFor)
+			p.excludedUntil = now.Add(exclusionPeriod)
 		}
 		// Only who knows this epoch is surely still there: the leader before,
 		// say, was heard a moment before it ended.
-		fit := alive && p.status.Ready && !p.status.Cut && p.token >= c.epoch.Token && now.After(p.shunned)
+		fit := alive && p.status.Ready && !p.status.Cut && p.token >= c.epoch.Token && now.After(p.excludedUntil)
 		switch {
-		case member != 0 && (!alive || p.incarnation != member || now.Before(p.shunned)):
+		case member != 0 && (!alive || p.incarnation != member || now.Before(p.excludedUntil)):
 			delete(next.Members, node)
 			changed = true
-			c.opts.Log.Info("member gone", "member", node, "silent", now.Sub(p.lastSeen), "shunned", now.Before(p.shunned))
+			c.opts.Log.Info("member gone", "member", node, "silent", now.Sub(p.lastSeen), "shunned", now.Before(p.excludedUntil))
 			fallthrough
 		case member == 0 && fit:
 			if fit {
--- a/internal/cluster/election.go
+++ b/internal/cluster/election.go
@@ -25,7 +25,7 @@
 // runElection claims the epoch when nobody leads, keeps leading, and starts the
 // share of this controller's membership.
 func (c *Cluster) runElection(ctx context.Context) error {
-	tick := time.NewTicker(min(c.timeouts.leaderTTL, c.permission) / 4)
+	tick := time.NewTicker(min(c.timeouts.leaderTTL, c.confirmationTTL) / 4)
 	defer tick.Stop()
 	for {
 		select {
@@ -38,7 +38,7 @@
 		c.mu.Lock()
 		c.startShareLocked(ctx)
 		c.noteFenceLocked()
-		c.logPermissionLocked()
+		c.logConfirmationLocked()
 		c.mu.Unlock()
 	}
 }
@@ -87,14 +87,14 @@
 	go c.share(ctx, &Membership{c, c.epoch.Members[c.opts.Node].Since}, previous, c.sharing)
 }
 
-// logPermissionLocked tells an operator when this controller, a member, begins
+// logConfirmationLocked tells an operator when this controller, a member, begins
 // or ends to answer no worker.
-func (c *Cluster) logPermissionLocked() {
-	lapsed := c.memberLocked() && !c.confirmed.IsZero() && !c.permittedLocked()
-	if lapsed == c.lapsed {
+func (c *Cluster) logConfirmationLocked() {
+	lapsed := c.memberLocked() && !c.confirmed.IsZero() && !c.canAnswerHeartbeatsLocked()
+	if lapsed == c.unconfirmed {
 		return
 	}
-	c.lapsed = lapsed
+	c.unconfirmed = lapsed
 	if lapsed {
 		c.opts.Log.Warn("permission lapsed: no worker is answered until the state service or a majority confirms the epoch again",
 			"token", c.epoch.Token, "since", time.Since(c.confirmed), "peers_heard", len(c.heardPeersLocked()))
@@ -150,7 +150,7 @@
 // silent about; where the peers' word is fresh, that is not needed.
 func (c *Cluster) confirm(ctx context.Context, sent time.Time, revision uint64) {
 	c.mu.Lock()
-	fresh := sent.Sub(c.confirmed) < c.permission/3
+	fresh := sent.Sub(c.confirmed) < c.confirmationTTL/3
 	c.mu.Unlock()
 	if fresh {
 		return
--- a/internal/cluster/grpc.go
+++ b/internal/cluster/grpc.go
@@ -41,8 +41,8 @@
 	return &Conn{conn: conn, client: peerpb.NewPeerClient(conn)}, nil
 }
 
-// Beat implements Beater.
-func (p *Conn) Beat(ctx context.Context, mine *peerpb.Status) (*peerpb.Status, error) {
+// Heartbeat implements PeerClient.
+func (p *Conn) Heartbeat(ctx context.Context, mine *peerpb.Status) (*peerpb.Status, error) {
 	return p.client.Beat(ctx, mine)
 }
 
@@ -65,8 +65,8 @@
 	return p.client.Settle(ctx, req)
 }
 
-// Tell implements Beater.
-func (p *Conn) Tell(ctx context.Context, req *peerpb.TellRequest) (*peerpb.TellReply, error) {
+// ReplicateCancellations implements PeerClient.
+func (p *Conn) ReplicateCancellations(ctx context.Context, req *peerpb.TellRequest) (*peerpb.TellReply, error) {
 	return p.client.Tell(ctx, req)
 }
 
@@ -96,12 +96,12 @@
 
 // Beat implements peerpb.PeerServer.
 func (s *Service) Beat(_ context.Context, theirs *peerpb.Status) (*peerpb.Status, error) {
-	return s.Cluster.HandleBeat(theirs), nil
+	return s.Cluster.HandleHeartbeat(theirs), nil
 }
 
 // Tell implements peerpb.PeerServer.
 func (s *Service) Tell(_ context.Context, req *peerpb.TellRequest) (*peerpb.TellReply, error) {
-	return s.Cluster.HandleTell(req), nil
+	return s.Cluster.HandleCancellations(req), nil
 }
 
 // State implements peerpb.PeerServer.
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -10,28 +10,30 @@
 
 // peer is what this controller knows of another.
 type peer struct {
-	node        string
-	client      Beater
-	lastSeen    time.Time // when its last answer came
-	incarnation uint64
-	token       uint64       // highest epoch token it has said it knows
-	level       FeatureLevel // of its version, as it last said
-	stateOK     bool
-	workers     uint32
-	confirmedAt time.Time // when it was asked and knew of no newer epoch than ours
-	status      *peerpb.Status
-	shunned     time.Time // no member before then
-	outbox      outbox
+	node          string
+	client        PeerClient
+	lastSeen      time.Time // when its last answer came
+	incarnation   uint64
+	token         uint64       // highest epoch token it has said it knows
+	level         FeatureLevel // of its version, as it last said
+	stateOK       bool
+	workers       uint32
+	confirmedAt   time.Time // when it was asked and knew of no newer epoch than ours
+	status        *peerpb.Status
+	excludedUntil time.Time // no member before then
+	outbox        outbox
 }
 
-// Beater is the part of a peer's interface that this package calls.
-type Beater interface {
-	Beat(ctx context.Context, mine *peerpb.Status) (*peerpb.Status, error)
-	Tell(ctx context.Context, req *peerpb.TellRequest) (*peerpb.TellReply, error)
+// PeerClient is the part of a peer's gRPC interface that this package calls:
+// heartbeats, and the replication of cancellations before they are confirmed.
+type PeerClient interface {
+	Heartbeat(ctx context.Context, mine *peerpb.Status) (*peerpb.Status, error)
+	ReplicateCancellations(ctx context.Context, req *peerpb.TellRequest) (*peerpb.TellReply, error)
 }
 
-// HeardWorker notes that a worker reported here although another leads.
-func (c *Cluster) HeardWorker(machine string) {
+// NoteWorkerHeartbeat notes that a worker sent its heartbeat here although
+// another controller leads.
+func (c *Cluster) NoteWorkerHeartbeat(machine string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.workersHeard[machine] = time.Now()
@@ -88,9 +90,9 @@
 	return heard
 }
 
-// Lonely tells whether this controller has long been cut off from all others
+// Isolated tells whether this controller has long been cut off from all others
 // and is no member: for longer than it takes to lead if they have ended.
-func (c *Cluster) Lonely() bool {
+func (c *Cluster) Isolated() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	lonelyAfter := c.timeouts.leaderTTL + 5*time.Second
@@ -113,8 +115,8 @@
 	return all
 }
 
-// HandleBeat answers a peer's beat.
-func (c *Cluster) HandleBeat(theirs *peerpb.Status) *peerpb.Status {
+// HandleHeartbeat answers a peer's heartbeat with this controller's status.
+func (c *Cluster) HandleHeartbeat(theirs *peerpb.Status) *peerpb.Status {
 	c.mu.Lock()
 	if p := c.peers[theirs.Node]; p != nil {
 		c.notePeerLocked(p, theirs)
@@ -161,11 +163,11 @@
 	return s
 }
 
-// beat exchanges status with one peer, again and again. The answers of a
-// majority that know no newer epoch also confirm ours: in an outage of the
+// runHeartbeats exchanges status with one peer every heartbeat interval. The
+// answers of a majority that know no newer epoch also confirm ours: in an outage of the
 // state service that is what keeps workers' leases.
-func (c *Cluster) beat(ctx context.Context, p *peer) error {
-	tick := time.NewTicker(beatEvery)
+func (c *Cluster) runHeartbeats(ctx context.Context, p *peer) error {
+	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
 	for {
 		mine := c.status(math.MaxUint64)
@@ -173,8 +175,8 @@
 			mine.Progress = c.opts.Progress()
 		}
 		sent := time.Now()
-		bctx, cancel := context.WithTimeout(ctx, c.timeouts.beatTimeout)
-		theirs, err := p.client.Beat(bctx, mine)
+		bctx, cancel := context.WithTimeout(ctx, c.timeouts.heartbeatTimeout)
+		theirs, err := p.client.Heartbeat(bctx, mine)
 		cancel()
 		if err == nil {
 			c.opts.Cancellations.ApplyCancellations(fromPeer(theirs.Cancelled))
--- a/internal/cluster/replicate.go
+++ b/internal/cluster/replicate.go
@@ -12,8 +12,8 @@
 
 // Cancellations is what this controller knows of cancelled jobs. A controller
 // that does not know of one may renew the leases of the job's workers for as
-// long as it is permitted to; so no permission comes without what is known of
-// them, see docs/design.md, "Cancelled means known".
+// long as its confirmation TTL lasts; so no confirmation counts without what is
+// known of them, see docs/design.md, "Cancelled means known".
 type Cancellations interface {
 	// KnownCancellations tells what is known, and names those after a revision.
 	KnownCancellations(after uint64) job.CancellationState
@@ -56,19 +56,19 @@
 	return cancelled
 }
 
-// HandleTell takes cancellations that a peer is about to confirm.
-func (c *Cluster) HandleTell(req *peerpb.TellRequest) *peerpb.TellReply {
+// HandleCancellations takes cancellations that a peer is about to confirm.
+func (c *Cluster) HandleCancellations(req *peerpb.TellRequest) *peerpb.TellReply {
 	c.opts.Cancellations.ApplyCancellations(fromPeer(req.Cancelled))
 	return &peerpb.TellReply{}
 }
 
 // replicasNeededLocked is how many peers must know a cancellation before it is
-// confirmed: so many that any majority that confirms a permission holds a
-// controller that knows. Where a permission lasts too long for a lease to lapse
-// after it in time, all must.
+// confirmed: so many that any majority that confirms an epoch holds a
+// controller that knows. Where the confirmation TTL leaves no time for a lease
+// expiry before the cancellation deadline, all must.
 func (c *Cluster) replicasNeededLocked() int {
 	n := len(c.peers) + 1
-	if !c.inTime {
+	if !c.expiryFitsCancel {
 		return n - 1
 	}
 	return n - (n/2 + 1)
@@ -77,7 +77,7 @@
 // soleLocked tells whether all machines are this controller's and no other one
 // is a member: the others may have ended, and it stops the tasks itself.
 func (c *Cluster) soleLocked() bool {
-	return c.leadsLocked() && c.permittedLocked() && len(c.epoch.Members) == 1
+	return c.leadsLocked() && c.canAnswerHeartbeatsLocked() && len(c.epoch.Members) == 1
 }
 
 // Replicate implements job.Replicator.
@@ -155,7 +155,7 @@
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
-		_, err := p.client.Tell(ctx, &peerpb.TellRequest{Cancelled: box.cancelled})
+		_, err := p.client.ReplicateCancellations(ctx, &peerpb.TellRequest{Cancelled: box.cancelled})
 		cancel()
 		for _, answer := range box.answers {
 			answer <- err
