--- a/cmd/heronwick/controller.go
+++ b/cmd/heronwick/controller.go
@@ -104,7 +104,7 @@
 	c.committer = state.NewCommitter(c.client, settings.TxnOps)
 	c.catalog = job.NewStore(job.Options{
 		Client: c.client, Committer: c.committer, MaxValue: settings.ValueBytes, Log: log,
-		AcceptsDependencies: func() bool { return c.members.Supports(cluster.LevelChains) },
+		AcceptsDependencies: func() bool { return c.members.Supports(cluster.LevelDependencies) },
 	})
 	c.offers = cloud.NewTypeCache(out.cloud, c.client, settings.ValueBytes, log)
 	beaters := map[string]cluster.PeerClient{}
@@ -120,8 +120,8 @@
 		Teams: teams, MaxValue: settings.ValueBytes,
 		Node: settings.Node, Client: c.client, Route: c.route, Peers: beaters,
 		LeaseFor: settings.LeaseFor, CancelIn: settings.CancelIn, Cancellations: c.catalog, Slowness: settings.Slowness(),
-		Share: c.runShare, Status: c.status, Changed: c.changed, Weights: c.weights,
-		Progress: c.progress, OnProgress: c.takeProgress, Ledger: c.duties.ledger, Cleanup: c.duties.cleanupConditions, Log: log,
+		RunMembership: c.runShare, Status: c.status, Changed: c.changed, Weights: c.weights,
+		Progress: c.progress, OnProgress: c.takeProgress, WatchHandler: c.duties.ledger, Cleanup: c.duties.cleanupConditions, Log: log,
 	})
 	c.catalog.SetReplicator(c.members)
 	c.chains = newChainWatch(c.catalog, c.owns, log)
@@ -190,7 +190,7 @@
 	s := scheduler.New(scheduler.Options{
 		Node: c.settings.Node, Settings: c.settings, Authority: membership, Workers: c.out.workers, Cloud: c.out.cloud, Actions: c.duties.actions,
 		Peers: peerShares(c.out.peers), PlaceRequests: &c.requests, Jobs: c.catalog, Records: c.client, Committer: c.committer, Types: c.offers.Types(),
-		Resign: c.members.Resign, Elsewhere: c.members.WorkersElsewhere, Latency: c.latency, Log: c.log,
+		Resign: c.members.StepDown, Elsewhere: c.members.WorkersElsewhere, Latency: c.latency, Log: c.log,
 	})
 	c.share.Store(s)
 	// At once when its membership ends: its last work may take long to end.
--- a/cmd/heronwick/duties.go
+++ b/cmd/heronwick/duties.go
@@ -71,7 +71,7 @@
 		return err
 	}
 	if id.Scope == duty.Fleet {
-		c.members.Resign(ctx)
+		c.members.StepDown(ctx)
 	}
 	return nil
 }
@@ -94,7 +94,7 @@
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	c.log.Info("leaving")
-	c.members.Resign(ctx)
+	c.members.StepDown(ctx)
 }
 
 // gauges are what the metrics tell of the duties.
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -45,7 +45,7 @@
 	leaderTTL        time.Duration
 	heartbeatTimeout time.Duration
 	peerSilence      time.Duration // a peer counts as heard from
-	deadAfter        time.Duration // when a member that does not answer loses its share
+	deadAfter        time.Duration // when a member that does not answer is removed
 }
 
 func newTimeouts(slowness float64) timeouts {
@@ -72,10 +72,10 @@
 	Cancellations Cancellations
 	// Slowness is how many times longer than usual the controllers may be busy.
 	Slowness float64
-	// Share runs while this controller is a member; its context ends when it
+	// RunMembership runs while this controller is a member; its context ends when it
 	// no longer is.
-	Share func(ctx context.Context, membership *Membership) error
-	// Status fills in what the peers are told of the share.
+	RunMembership func(ctx context.Context, membership *Membership) error
+	// Status fills in what the peers are told of this controller's scheduler.
 	Status func(*peerpb.Status)
 	// Changed is called, in no lock, when the epoch or an owner has changed.
 	Changed func()
@@ -84,17 +84,18 @@
 	// Progress is told to the peers, for display, and taken from the leader.
 	Progress   func() []*peerpb.Progress
 	OnProgress func([]*peerpb.Progress)
-	// Ledger follows the keys below the watched prefix that are not this package's
+	// WatchHandler follows the keys below the watched prefix that are not this package's
 	// own; nil: nobody does. It is called under a lock, in the order of the store.
-	Ledger Ledger
+	WatchHandler WatchHandler
 	// Cleanup returns the conditions under which records may be removed, or an error
 	// if this controller has no right to; nil: there are none besides the epoch.
 	Cleanup func() ([]wire.Condition, error)
 	Log     *slog.Logger
 }
 
-// Ledger takes what the watch brings.
-type Ledger interface {
+// WatchHandler mirrors the keys that the watch brings: Replace with a full
+// list as of a revision, Apply with the events after it.
+type WatchHandler interface {
 	Replace(items []wire.Item, revision uint64)
 	Apply(events []wire.Event, revision uint64)
 }
@@ -109,28 +110,28 @@
 	expiryFitsCancel bool          // a lease expiry after the confirmation TTL fits within CancelIn
 	changed          chan struct{} // poked when the epoch or the leader key changes
 
-	mu            sync.Mutex
-	epoch         Epoch
-	version       uint64 // of the epoch key
-	known         bool   // the epoch was read in this incarnation
-	leaderVersion uint64 // of the leader key; 0: nobody holds it
-	leader        leaderRecord
-	revision      uint64
-	lease         uint64
-	resigned      time.Time // when this leader asked the others to take over
-	unconfirmed   bool      // a member whose confirmation TTL ran out, as logged
-	confirmed     time.Time // when the last proof that the epoch is current was asked for, cancellations included
-	caughtUp      time.Time // when the store last showed all cancellations
-	peers         map[string]*peer
-	fence         fence
-	fenceRecords  []fenceRecord
-	owners        map[string]Owner    // by machine
-	transfers     map[string]transfer // by key
-	written       uint64              // transfers written
-	features      features
-	workersHeard  map[string]time.Time
-	stopShare     context.CancelFunc
-	sharing       chan struct{} // closed when the current Share has returned
+	mu             sync.Mutex
+	epoch          Epoch
+	version        uint64 // of the epoch key
+	known          bool   // the epoch was read in this incarnation
+	leaderVersion  uint64 // of the leader key; 0: nobody holds it
+	leader         leaderRecord
+	revision       uint64
+	lease          uint64
+	steppedDown    time.Time // when this leader asked the others to take over
+	unconfirmed    bool      // a member whose confirmation TTL ran out, as logged
+	confirmed      time.Time // when the last proof that the epoch is current was asked for, cancellations included
+	caughtUp       time.Time // when the store last showed all cancellations
+	peers          map[string]*peer
+	fence          fence
+	fenceRecords   []fenceRecord
+	owners         map[string]Owner    // by machine
+	transfers      map[string]transfer // by key
+	written        uint64              // transfers written
+	features       features
+	workersHeard   map[string]time.Time
+	stopMembership context.CancelFunc
+	membershipDone chan struct{} // closed when the current RunMembership has returned
 }
 
 // New makes a Cluster; Run starts it.
@@ -167,7 +168,7 @@
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return c.watch(ctx) })
 	g.Go(func() error { return c.runElection(ctx) })
-	g.Go(func() error { return c.tidyUp(ctx) })
+	g.Go(func() error { return c.runTransferCleanup(ctx) })
 	for _, p := range c.peers {
 		g.Go(func() error { return c.runHeartbeats(ctx, p) })
 	}
--- a/internal/cluster/election.go
+++ b/internal/cluster/election.go
@@ -22,8 +22,8 @@
 	return c.known && c.epoch.Leader == c.opts.Node && c.epoch.Incarnation == c.incarnation
 }
 
-// runElection claims the epoch when nobody leads, keeps leading, and starts the
-// share of this controller's membership.
+// runElection campaigns for the epoch when nobody leads, keeps leading, and
+// starts RunMembership for this controller's membership.
 func (c *Cluster) runElection(ctx context.Context) error {
 	tick := time.NewTicker(min(c.timeouts.leaderTTL, c.confirmationTTL) / 4)
 	defer tick.Stop()
@@ -34,20 +34,20 @@
 		case <-c.changed:
 		case <-tick.C:
 		}
-		c.lead(ctx)
+		c.electionRound(ctx)
 		c.mu.Lock()
-		c.startShareLocked(ctx)
+		c.startMembershipLocked(ctx)
 		c.noteFenceLocked()
 		c.logConfirmationLocked()
 		c.mu.Unlock()
 	}
 }
 
-// lead does what is due for the present epoch: reads a newer one, keeps leading
+// electionRound does what is due for the present epoch: reads a newer one, keeps leading
 // this one, or claims the next.
-func (c *Cluster) lead(ctx context.Context) {
+func (c *Cluster) electionRound(ctx context.Context) {
 	c.mu.Lock()
-	known, leading, vacant := c.known, c.leadsLocked(), c.vacantLocked()
+	known, leading, vacant := c.known, c.leadsLocked(), c.leaderlessLocked()
 	newer := false
 	for _, p := range c.peers {
 		newer = newer || p.token > c.epoch.Token
@@ -61,30 +61,30 @@
 		}
 	case leading:
 		c.renew(ctx)
-		c.manage(ctx)
+		c.reconcileMembership(ctx)
 		c.raiseLevel(ctx)
 	case vacant:
 		// Whoever comes first wins; jitter makes a tie rare.
 		wait.Sleep(ctx, rand.N(100*time.Millisecond))
-		c.claim(ctx)
+		c.campaign(ctx)
 	}
 }
 
-// vacantLocked tells whether this controller may claim the epoch: nobody leads,
+// leaderlessLocked tells whether this controller may campaign for the epoch: nobody leads,
 // or it did itself until it started anew.
-func (c *Cluster) vacantLocked() bool {
+func (c *Cluster) leaderlessLocked() bool {
 	return c.leaderVersion == 0 || c.leader.Node == c.opts.Node && c.leader.Incarnation != c.incarnation
 }
 
-// startShareLocked starts the share of a membership that has begun.
-func (c *Cluster) startShareLocked(ctx context.Context) {
-	if !c.memberLocked() || c.stopShare != nil {
+// startMembershipLocked starts RunMembership for a membership that has begun.
+func (c *Cluster) startMembershipLocked(ctx context.Context) {
+	if !c.memberLocked() || c.stopMembership != nil {
 		return
 	}
-	ctx, c.stopShare = context.WithCancel(ctx)
-	previous := c.sharing
-	c.sharing = make(chan struct{})
-	go c.share(ctx, &Membership{c, c.epoch.Members[c.opts.Node].Since}, previous, c.sharing)
+	ctx, c.stopMembership = context.WithCancel(ctx)
+	previous := c.membershipDone
+	c.membershipDone = make(chan struct{})
+	go c.runMembership(ctx, &Membership{c, c.epoch.Members[c.opts.Node].Since}, previous, c.membershipDone)
 }
 
 // logConfirmationLocked tells an operator when this controller, a member, begins
@@ -103,14 +103,14 @@
 	}
 }
 
-// share runs the share of a membership once that of the one before has ended.
-func (c *Cluster) share(ctx context.Context, membership *Membership, previous, done chan struct{}) {
+// runMembership runs the runMembership of a membership once that of the one before has ended.
+func (c *Cluster) runMembership(ctx context.Context, membership *Membership, previous, done chan struct{}) {
 	defer close(done)
 	if previous != nil {
 		<-previous
 	}
 	c.opts.Log.Info("share begins")
-	if err := c.opts.Share(ctx, membership); err != nil && ctx.Err() == nil {
+	if err := c.opts.RunMembership(ctx, membership); err != nil && ctx.Err() == nil {
 		c.opts.Log.Error("share failed", "err", err)
 	}
 }
@@ -136,12 +136,12 @@
 		return
 	}
 	c.mu.Lock()
-	resigned := time.Since(c.resigned) < 2*c.timeouts.leaderTTL
+	resigned := time.Since(c.steppedDown) < 2*c.timeouts.leaderTTL
 	keyless := c.leaderVersion == 0 && !resigned
 	c.mu.Unlock()
 	if err := c.opts.Client.Renew(ctx, lease); (errors.Is(err, state.ErrNotFound) || keyless) && !resigned {
 		c.opts.Log.Info("leader lease ended, taking it again")
-		c.claimLease(ctx)
+		c.reacquireLeaderLease(ctx)
 	}
 }
 
@@ -166,9 +166,9 @@
 	}
 }
 
-// claimLease takes the leader key again within the same epoch, if nobody else
+// reacquireLeaderLease takes the leader key again within the same epoch, if nobody else
 // has claimed the epoch since.
-func (c *Cluster) claimLease(ctx context.Context) {
+func (c *Cluster) reacquireLeaderLease(ctx context.Context) {
 	lease, err := c.opts.Client.Grant(ctx, c.timeouts.leaderTTL)
 	if err != nil {
 		return
@@ -190,13 +190,13 @@
 	c.mu.Unlock()
 }
 
-// claim starts a new epoch with this controller as its leader.
-func (c *Cluster) claim(ctx context.Context) {
+// campaign starts a new epoch with this controller as its leader.
+func (c *Cluster) campaign(ctx context.Context) {
 	if err := c.refresh(ctx); err != nil {
 		return
 	}
 	c.mu.Lock()
-	vacant := c.vacantLocked()
+	vacant := c.leaderlessLocked()
 	epoch, version, leaderVersion := c.epoch, c.version, c.leaderVersion
 	c.mu.Unlock()
 	if !vacant {
@@ -213,7 +213,7 @@
 	if next.Members[c.opts.Node].Incarnation != c.incarnation {
 		next.Members[c.opts.Node] = Member{Incarnation: c.incarnation, Since: next.Token}
 	}
-	next.divide(c.opts.Weights())
+	next.assignTeams(c.opts.Weights())
 	value, _ := json.Marshal(next)
 	record, _ := json.Marshal(leaderRecord{Node: c.opts.Node, Incarnation: c.incarnation})
 	revision, err := c.opts.Client.Txn(ctx, state.Urgent, wire.Txn{
@@ -257,11 +257,11 @@
 	if !member {
 		return errors.New("not a member")
 	}
-	return c.change(ctx, epoch.next(), version)
+	return c.compareAndSwapEpoch(ctx, epoch.next(), version)
 }
 
-// change makes next the epoch, if the current one still has the version.
-func (c *Cluster) change(ctx context.Context, next Epoch, version uint64) error {
+// compareAndSwapEpoch makes next the epoch, if the current one still has the version.
+func (c *Cluster) compareAndSwapEpoch(ctx context.Context, next Epoch, version uint64) error {
 	value, err := json.Marshal(next)
 	if err != nil {
 		return fmt.Errorf("encoding the epoch: %w", err)
@@ -282,14 +282,14 @@
 	return nil
 }
 
-// Resign gives up leading, so that another controller takes over soon: this
+// StepDown gives up leading, so that another controller takes over soon: this
 // one cannot reach the workers while another can.
-func (c *Cluster) Resign(ctx context.Context) {
+func (c *Cluster) StepDown(ctx context.Context) {
 	c.mu.Lock()
 	version := c.leaderVersion
 	leads := c.leadsLocked()
 	if leads {
-		c.resigned = time.Now()
+		c.steppedDown = time.Now()
 	}
 	c.mu.Unlock()
 	if !leads {
--- a/internal/cluster/epoch.go
+++ b/internal/cluster/epoch.go
@@ -12,7 +12,7 @@
 	Token       uint64 `json:"token"`
 	Leader      string `json:"leader"`
 	Incarnation uint64 `json:"incarnation"`
-	// Members are the controllers with a share.
+	// Members are the controllers that schedule, by node.
 	Members map[string]Member `json:"members"`
 	// Teams says which member owns each team. A job whose team is not listed
 	// belongs to the member that its id hashes to.
@@ -39,7 +39,7 @@
 	return len(value)
 }
 
-// Member is a controller with a share. One that comes back, as the same
+// Member is a controller that schedules. One that comes back, as the same
 // incarnation or another, has another Since and owns nothing of what it had.
 type Member struct {
 	Incarnation uint64 `json:"incarnation"`
--- a/internal/cluster/features.go
+++ b/internal/cluster/features.go
@@ -21,8 +21,8 @@
 const (
 	// LevelNone is that of the version before levels were told.
 	LevelNone FeatureLevel = iota
-	// LevelChains: jobs may need others.
-	LevelChains
+	// LevelDependencies: jobs may need others.
+	LevelDependencies
 	// LevelDuties: machines are condemned before they are returned, and rentals are
 	// recorded before they are asked for.
 	LevelDuties
@@ -54,7 +54,7 @@
 	return c.features.level
 }
 
-func (c *Cluster) takeFeaturesLocked(value json.RawMessage, version uint64) {
+func (c *Cluster) applyFeaturesLocked(value json.RawMessage, version uint64) {
 	var r featuresRecord
 	if json.Unmarshal(value, &r) != nil || version <= c.features.version {
 		return
@@ -99,5 +99,5 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.takeFeaturesLocked(value, revision)
+	c.applyFeaturesLocked(value, revision)
 }
--- a/internal/cluster/authority.go
+++ b/internal/cluster/fencing.go
@@ -55,16 +55,18 @@
 	return c.memberLocked() && time.Since(c.confirmed) < c.confirmationTTL
 }
 
-// Membership is the cluster as seen by the share of one membership. A share whose
-// membership is over may take long to end, and meanwhile its controller may be
-// a member again, under a newer token: what the old share knows is no more.
+// Membership is the cluster as seen by the scheduler of one membership. A
+// scheduler whose membership is over may take long to end, and meanwhile its
+// controller may be a member again, under a newer token: what the old
+// scheduler knows is no longer current.
 type Membership struct {
 	*Cluster
 	since uint64
 }
 
-// FencingToken tells whether the share of this membership may answer workers' reports and
-// command them now, and under which token: both as of the same moment.
+// FencingToken returns the fencing token of the current epoch, and whether the
+// scheduler of this membership may answer workers' heartbeats and command them
+// now: both as of the same moment.
 func (m *Membership) FencingToken() (token uint64, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -148,7 +150,7 @@
 	c.confirmLocked(times[needed-1])
 }
 
-// confirmLocked notes a proof, asked for at a time, that the epoch was current.
+// confirmLocked notes a confirmation, asked for at a time, that the epoch was current.
 func (c *Cluster) confirmLocked(at time.Time) {
 	if at.After(c.confirmed) {
 		c.confirmed = at
--- a/internal/cluster/grpc.go
+++ b/internal/cluster/grpc.go
@@ -70,7 +70,8 @@
 	return p.client.Tell(ctx, req)
 }
 
-// Host is the part of a share that peers call.
+// Host is the part of a member's scheduler that peers call: placing tasks on
+// its machines and settling what became of them.
 type Host interface {
 	Place(req *peerpb.PlaceRequest) *peerpb.PlaceReply
 	Settle(req *peerpb.SettleRequest) *peerpb.SettleReply
--- a/internal/cluster/division.go
+++ b/internal/cluster/membership.go
@@ -23,10 +23,10 @@
 	return n
 }
 
-// divide gives every team an owner among the members. A team whose owner is a
+// assignTeams gives every team an owner among the members. A team whose owner is a
 // member moves only if that evens out the work by much: a move costs its tasks
 // a second owner.
-func (e *Epoch) divide(weights map[string]float64) {
+func (e *Epoch) assignTeams(weights map[string]float64) {
 	load := map[string]float64{}
 	for node := range e.Members {
 		load[node] = 0
@@ -63,7 +63,7 @@
 	}
 	for _, t := range loose {
 		// The leader takes the machines of a member that has gone, so it takes
-		// its teams too: elsewhere all their tasks would be lent.
+		// its teams too: elsewhere all their tasks would run on another owner's machines.
 		e.Teams[t] = e.Leader
 		if _, ok := load[e.Leader]; !ok {
 			e.Teams[t] = least()
@@ -88,9 +88,9 @@
 	}
 }
 
-// manage keeps the members and the division of the teams up to date. Only the
+// reconcileMembership keeps the members and the assignment of teams up to date. Only the
 // leader does.
-func (c *Cluster) manage(ctx context.Context) {
+func (c *Cluster) reconcileMembership(ctx context.Context) {
 	weights := c.opts.Weights()
 	c.mu.Lock()
 	if !c.leadsLocked() {
@@ -133,8 +133,8 @@
 	if !changed {
 		return
 	}
-	next.divide(weights)
-	if err := c.change(ctx, next, version); err != nil {
+	next.assignTeams(weights)
+	if err := c.compareAndSwapEpoch(ctx, next, version); err != nil {
 		c.opts.Log.Info("changing the epoch failed", "err", err)
 	}
 }
@@ -146,7 +146,7 @@
 	return heard > int(p.status.Machines)/3
 }
 
-// Totals sums what the other members' shares have.
+// Totals sums the machines, idle machines, CPUs and free CPUs of the other members.
 func (c *Cluster) Totals() (machines, idle int, cpus, free float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -159,7 +159,7 @@
 	return machines, idle, cpus, free
 }
 
-// Idle tells how many idle machines a member's share has.
+// Idle tells how many idle machines a member has.
 func (c *Cluster) Idle(node string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -169,26 +169,26 @@
 	return 0
 }
 
-// Load is what a member's share has to look after.
-type Load struct {
+// PeerLoad is what another member has to look after.
+type PeerLoad struct {
 	Machines   int
 	Overloaded bool // it was short of processor time lately
 }
 
 // PeerLoads returns the loads of the other members that were heard from lately.
-func (c *Cluster) PeerLoads() map[string]Load {
+func (c *Cluster) PeerLoads() map[string]PeerLoad {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	loads := map[string]Load{}
+	loads := map[string]PeerLoad{}
 	for _, p := range c.heardPeersLocked() {
 		if c.epoch.Members[p.node].Since != 0 {
-			loads[p.node] = Load{Machines: int(p.status.Machines), Overloaded: p.status.Overloaded}
+			loads[p.node] = PeerLoad{Machines: int(p.status.Machines), Overloaded: p.status.Overloaded}
 		}
 	}
 	return loads
 }
 
-// UnplacedWants tells what finds no room in the other members' shares.
+// UnplacedWants returns the demand that finds no room on the other members' machines.
 func (c *Cluster) UnplacedWants() []*peerpb.Want {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/owners.go
+++ b/internal/cluster/ownership.go
@@ -40,8 +40,8 @@
 	key     string
 }
 
-// Gone tells whether the machine was given back to the cloud.
-func (o Owner) Gone() bool { return o.Node == "" && o.Version > 0 }
+// Released tells whether the machine was given back to the cloud.
+func (o Owner) Released() bool { return o.Node == "" && o.Version > 0 }
 
 // transfer is a Transfer as the store holds it.
 type transfer struct {
@@ -49,7 +49,7 @@
 	version uint64
 }
 
-func (c *Cluster) takeOwnerLocked(key string, value json.RawMessage, version uint64) {
+func (c *Cluster) applyTransferLocked(key string, value json.RawMessage, version uint64) {
 	name, ok := strings.CutPrefix(key, ownerPrefix)
 	if !ok || c.transfers[key].version >= version {
 		return
@@ -74,9 +74,9 @@
 	}
 }
 
-// dropOwnerLocked takes the removal of a transfer. One is removed only once
+// removeTransferLocked takes the removal of a transfer. One is removed only once
 // no older one names its machines, so nothing older comes to light.
-func (c *Cluster) dropOwnerLocked(key string) {
+func (c *Cluster) removeTransferLocked(key string) {
 	for machine := range c.transfers[key].Machines {
 		if c.owners[machine].key == key {
 			delete(c.owners, machine)
@@ -101,7 +101,7 @@
 	mine = map[string]Owner{}
 	for machine, o := range c.owners {
 		switch {
-		case o.Gone():
+		case o.Released():
 		case !c.validLocked(o):
 			orphans = append(orphans, machine)
 		case o.Node == c.opts.Node:
@@ -163,22 +163,22 @@
 func (c *Cluster) NoteOwner(change wire.Change, version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.takeOwnerLocked(change.Put, change.Value, version)
+	c.applyTransferLocked(change.Put, change.Value, version)
 }
 
 // maxTransfers is how many transfers may stand before the leader raises the
 // token so that it can remove what is settled.
 const maxTransfers = 200
 
-// tidyEvery is how often the leader looks for transfers to remove.
-const tidyEvery = 10 * time.Second
+// transferCleanupInterval is how often the leader looks for transfers to remove.
+const transferCleanupInterval = 10 * time.Second
 
-// tidyUp tidies now and then, apart from what keeps the leader's lease: it
+// runTransferCleanup tidies now and then, apart from what keeps the leader's lease: it
 // waits behind everything else for the state service's limits.
-func (c *Cluster) tidyUp(ctx context.Context) error {
+func (c *Cluster) runTransferCleanup(ctx context.Context) error {
 	for ctx.Err() == nil {
-		wait.Sleep(ctx, tidyEvery)
-		c.tidy(ctx)
+		wait.Sleep(ctx, transferCleanupInterval)
+		c.removeSettledTransfers(ctx)
 	}
 	return nil
 }
@@ -191,11 +191,11 @@
 	return c.opts.Cleanup()
 }
 
-// tidy removes transfers that decide nothing any more: newer ones name all
+// removeSettledTransfers removes transfers that decide nothing any more: newer ones name all
 // their machines, or the owner's membership is over and none older names them. A
 // late copy of a transfer would bring it back as the newest one, so one is
 // removed only under a later epoch than its own: the copy then fails.
-func (c *Cluster) tidy(ctx context.Context) {
+func (c *Cluster) removeSettledTransfers(ctx context.Context) {
 	const most = 8 // changes; it need not be quick
 	guard, err := c.cleanupGuard()
 	if err != nil {
@@ -255,6 +255,6 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, change := range txn.Then {
-		c.dropOwnerLocked(change.Delete)
+		c.removeTransferLocked(change.Delete)
 	}
 }
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -21,7 +21,7 @@
 	confirmedAt   time.Time // when it was asked and knew of no newer epoch than ours
 	status        *peerpb.Status
 	excludedUntil time.Time // no member before then
-	outbox        outbox
+	replication   replicationQueue
 }
 
 // PeerClient is the part of a peer's gRPC interface that this package calls:
--- a/internal/cluster/replicate.go
+++ b/internal/cluster/replicate.go
@@ -23,11 +23,11 @@
 }
 
 const (
-	// tellTimeout bounds the telling of a peer; users wait for it.
-	tellTimeout = 500 * time.Millisecond
-	// tellOthers is how long a confirmation waits for the peers beyond those
+	// replicationTimeout bounds the telling of a peer; users wait for it.
+	replicationTimeout = 500 * time.Millisecond
+	// replicationGrace is how long a confirmation waits for the peers beyond those
 	// that it needs: each that knows starts nothing of the job any more.
-	tellOthers = 100 * time.Millisecond
+	replicationGrace = 100 * time.Millisecond
 )
 
 var errNotReplicated = errors.New("too few controllers can be told")
@@ -74,9 +74,9 @@
 	return n - (n/2 + 1)
 }
 
-// soleLocked tells whether all machines are this controller's and no other one
+// soleMemberLocked tells whether all machines are this controller's and no other one
 // is a member: the others may have ended, and it stops the tasks itself.
-func (c *Cluster) soleLocked() bool {
+func (c *Cluster) soleMemberLocked() bool {
 	return c.leadsLocked() && c.canAnswerHeartbeatsLocked() && len(c.epoch.Members) == 1
 }
 
@@ -94,19 +94,19 @@
 			ask = append(ask, p)
 		}
 	}
-	if needed <= 0 && len(ask) == 0 || c.soleLocked() {
+	if needed <= 0 && len(ask) == 0 || c.soleMemberLocked() {
 		c.mu.Unlock()
 		return nil
 	}
 	answers := make(chan error, len(ask))
 	for _, p := range ask {
-		c.tellLocked(p, oneToPeer(n), answers)
+		c.queueReplicationLocked(p, oneToPeer(n), answers)
 	}
 	c.mu.Unlock()
 	var enough <-chan time.Time
 	for range ask {
 		if needed <= 0 && enough == nil {
-			timer := time.NewTimer(tellOthers)
+			timer := time.NewTimer(replicationGrace)
 			defer timer.Stop()
 			enough = timer.C
 		}
@@ -128,33 +128,33 @@
 	return nil
 }
 
-// outbox is what a peer is still to be told.
-type outbox struct {
+// replicationQueue is what a peer is still to be told.
+type replicationQueue struct {
 	cancelled []*peerpb.Cancelled
 	answers   []chan<- error
 	sending   bool
 }
 
-// tellLocked tells a peer of a cancellation, together with others that come
+// queueReplicationLocked tells a peer of a cancellation, together with others that come
 // meanwhile.
-func (c *Cluster) tellLocked(p *peer, n *peerpb.Cancelled, answer chan<- error) {
-	p.outbox.cancelled, p.outbox.answers = append(p.outbox.cancelled, n), append(p.outbox.answers, answer)
-	if !p.outbox.sending {
-		p.outbox.sending = true
-		go c.sendOutbox(p)
+func (c *Cluster) queueReplicationLocked(p *peer, n *peerpb.Cancelled, answer chan<- error) {
+	p.replication.cancelled, p.replication.answers = append(p.replication.cancelled, n), append(p.replication.answers, answer)
+	if !p.replication.sending {
+		p.replication.sending = true
+		go c.sendReplications(p)
 	}
 }
 
-func (c *Cluster) sendOutbox(p *peer) {
+func (c *Cluster) sendReplications(p *peer) {
 	for {
 		c.mu.Lock()
-		box := p.outbox
-		p.outbox = outbox{sending: len(box.cancelled) > 0}
+		box := p.replication
+		p.replication = replicationQueue{sending: len(box.cancelled) > 0}
 		c.mu.Unlock()
 		if len(box.cancelled) == 0 {
 			return
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), replicationTimeout)
 		_, err := p.client.ReplicateCancellations(ctx, &peerpb.TellRequest{Cancelled: box.cancelled})
 		cancel()
 		for _, answer := range box.answers {
--- a/internal/cluster/watch.go
+++ b/internal/cluster/watch.go
@@ -20,15 +20,15 @@
 		return err
 	}
 	caughtUp := c.opts.Cancellations.SyncToRevision(ctx, revision) == nil
-	if c.takeList(sent, items, revision, caughtUp) {
+	if c.applyList(sent, items, revision, caughtUp) {
 		c.opts.Changed()
 	}
 	return nil
 }
 
-// takeList takes what a list that was asked for at sent has shown, or returns
+// applyList takes what a list that was asked for at sent has shown, or returns
 // false if more recent news has been taken since.
-func (c *Cluster) takeList(sent time.Time, items []wire.Item, revision uint64, caughtUp bool) bool {
+func (c *Cluster) applyList(sent time.Time, items []wire.Item, revision uint64, caughtUp bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if revision < c.revision {
@@ -39,7 +39,7 @@
 	newer := c.transfers
 	c.owners, c.transfers = map[string]Owner{}, map[string]transfer{}
 	for _, item := range items {
-		c.takeLocked(item.Key, item.Value, item.Version)
+		c.applyKeyLocked(item.Key, item.Value, item.Version)
 	}
 	// What was written while the list was on its way is not in it, and the
 	// watch may bring it late: a machine given a moment ago was nobody's, so
@@ -49,8 +49,8 @@
 			c.addTransferLocked(key, t)
 		}
 	}
-	if c.opts.Ledger != nil {
-		c.opts.Ledger.Replace(items, revision)
+	if c.opts.WatchHandler != nil {
+		c.opts.WatchHandler.Replace(items, revision)
 	}
 	if caughtUp {
 		c.caughtUp = sent
@@ -61,7 +61,7 @@
 	return true
 }
 
-func (c *Cluster) takeLocked(key string, value json.RawMessage, version uint64) {
+func (c *Cluster) applyKeyLocked(key string, value json.RawMessage, version uint64) {
 	switch key {
 	case epochKey:
 		var e Epoch
@@ -78,20 +78,20 @@
 			c.leader, c.leaderVersion = l, version
 		}
 	case featuresKey:
-		c.takeFeaturesLocked(value, version)
+		c.applyFeaturesLocked(value, version)
 	default:
-		c.takeOwnerLocked(key, value, version)
+		c.applyTransferLocked(key, value, version)
 	}
 }
 
-// setEpochLocked takes a newer epoch and ends the share if this controller is
+// setEpochLocked takes a newer epoch and stops RunMembership if this controller is
 // no member any more.
 func (c *Cluster) setEpochLocked(e Epoch, version uint64) {
 	was, since := c.memberLocked(), c.epoch.Members[c.opts.Node].Since
 	if e.Token > c.epoch.Token {
 		// What peers said of the old epoch proves nothing about this one: a
 		// member stays permitted for what it has confirmed before, since
-		// nobody may answer its workers without its share.
+		// nobody may answer its workers without its membership.
 		c.fence = fence{}
 		if !was || e.Members[c.opts.Node].Since != since {
 			c.confirmed = time.Time{}
@@ -104,10 +104,10 @@
 	for _, p := range c.peers {
 		c.noteAckLocked(p)
 	}
-	if was && c.epoch.Members[c.opts.Node].Since != since && c.stopShare != nil {
+	if was && c.epoch.Members[c.opts.Node].Since != since && c.stopMembership != nil {
 		c.opts.Log.Info("share ends: its membership is over", "token", e.Token, "leader", e.Leader)
-		c.stopShare()
-		c.stopShare = nil
+		c.stopMembership()
+		c.stopMembership = nil
 	}
 }
 
@@ -136,16 +136,16 @@
 		c.mu.Lock()
 		if events.Revision > c.revision {
 			c.revision = events.Revision
-			if c.opts.Ledger != nil {
-				c.opts.Ledger.Apply(events.Events, events.Revision)
+			if c.opts.WatchHandler != nil {
+				c.opts.WatchHandler.Apply(events.Events, events.Revision)
 			}
 			for _, e := range events.Events {
 				if e.Put != "" {
-					c.takeLocked(e.Put, e.Value, e.Version)
+					c.applyKeyLocked(e.Put, e.Value, e.Version)
 				} else if e.Delete == leaderKey {
 					c.leaderVersion, c.leader = 0, leaderRecord{}
 				} else {
-					c.dropOwnerLocked(e.Delete)
+					c.removeTransferLocked(e.Delete)
 				}
 			}
 		}
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -164,7 +164,7 @@
 		return true
 	}
 	o, _ := s.opts.Authority.OwnerOf(name)
-	return o.Gone()
+	return o.Released()
 }
 
 // joinLocked decides about a worker whose machine this share does not have:
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -43,7 +43,7 @@
 	NoteOwner(change wire.Change, version uint64)
 	Totals() (machines, idle int, cpus, free float64)
 	Idle(node string) int
-	PeerLoads() map[string]cluster.Load
+	PeerLoads() map[string]cluster.PeerLoad
 	UnplacedWants() []*peerpb.Want
 }
 
