--- a/internal/scheduler/remote.go
+++ b/internal/scheduler/remote.go
@@ -117,40 +117,12 @@
 	}
 }
 
-// requestPlacementLocked asks one peer. The tasks count as lent before the request goes
-// out: without an answer the peer may have taken them.
+// requestPlacementLocked asks one peer for room. The tasks count as placed
+// remotely before the request goes out: without an answer the peer may have
+// taken them.
 func (s *Scheduler) requestPlacementLocked(node string, ask *peerRequestState, waiting []*jobState, now time.Time) {
-	req := &peerpb.PlaceRequest{Node: s.opts.Node, Token: s.epoch.Token}
-	asked := 0
-	for _, js := range waiting {
-		if asked >= maxAsked {
-			break
-		}
-		w := &peerpb.Wanted{Job: js.rec.Job.ID, Guaranteed: s.guaranteed(js), Pending: uint32(js.unplaced()), Zones: map[string]uint32{},
-			Held: js.waiting.IsZero()}
-		for zone, n := range js.zones {
-			if n > 0 {
-				w.Zones[zone] = uint32(n)
-			}
-		}
-		for asked < maxAsked && len(w.Attempts) < maxAskedPerJob && s.withinLimit(js) {
-			index, ok := js.nextTask()
-			if !ok {
-				break
-			}
-			js.took()
-			js.asking++
-			a := s.newAttempt(js, index)
-			s.trackRemoteLocked(a, node, "")
-			s.remote[a.Key].asked = true
-			w.Attempts = append(w.Attempts, &peerpb.Attempt{Task: a.Task, Attempt: a.Attempt})
-			asked++
-		}
-		if len(w.Attempts) > 0 {
-			req.Wanted = append(req.Wanted, w)
-		}
-	}
-	if asked == 0 {
+	req := s.placeRequestLocked(node, waiting)
+	if len(req.Wanted) == 0 {
 		return
 	}
 	ask.busy = true
@@ -160,43 +132,99 @@
 		cancel()
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		ask.busy = false
-		now := time.Now()
-		ask.next, ask.soonest = now.Add(retryPeerAfter), now.Add(100*time.Millisecond)
-		if err != nil {
-			s.log.Debug("asking for room failed", "peer", node, "err", err)
-			ask.next = now.Add(time.Second)
+		s.takePlaceReplyLocked(node, ask, req, reply, err)
+	})
+}
+
+// placeRequestLocked builds a request for room for at most maxAsked tasks of
+// the waiting jobs, maxAskedPerJob of each, and tracks each as a remote
+// attempt on node.
+func (s *Scheduler) placeRequestLocked(node string, waiting []*jobState) *peerpb.PlaceRequest {
+	req := &peerpb.PlaceRequest{Node: s.opts.Node, Token: s.epoch.Token}
+	asked := 0
+	for _, js := range waiting {
+		if asked >= maxAsked {
+			break
 		}
-		taken := map[fleet.Key]*peerpb.Hosted{}
-		for _, h := range reply.GetTaken() {
-			taken[fleet.Key{Task: h.Attempt.Task, Attempt: h.Attempt.Attempt}] = h
+		w := s.wantedLocked(js, node, maxAsked-asked)
+		asked += len(w.Attempts)
+		if len(w.Attempts) > 0 {
+			req.Wanted = append(req.Wanted, w)
 		}
-		for _, w := range req.Wanted {
-			for _, at := range w.Attempts {
-				key := fleet.Key{Task: at.Task, Attempt: at.Attempt}
-				if js := s.jobs[w.Job]; js != nil {
-					js.asking--
-				}
-				f := s.remote[key]
-				if f != nil {
-					f.asked = false
-				}
-				if f == nil || err != nil {
-					continue // without an answer, asking what became of it settles it
-				}
-				if h := taken[key]; h != nil {
-					s.moveZoneLocked(f, h.Zone)
-					s.log.Debug("lent", "task", at.Task, "attempt", at.Attempt, "to", node)
-					continue
-				}
-				s.forgetRemoteLocked(f)
-			}
+	}
+	return req
+}
+
+// wantedLocked takes up to budget next tasks of js, maxAskedPerJob at most,
+// as new attempts that are asked of node.
+func (s *Scheduler) wantedLocked(js *jobState, node string, budget int) *peerpb.Wanted {
+	w := &peerpb.Wanted{Job: js.rec.Job.ID, Guaranteed: s.guaranteed(js), Pending: uint32(js.unplaced()), Zones: map[string]uint32{},
+		Held: js.waiting.IsZero()}
+	for zone, n := range js.zones {
+		if n > 0 {
+			w.Zones[zone] = uint32(n)
+		}
+	}
+	for len(w.Attempts) < budget && len(w.Attempts) < maxAskedPerJob && s.withinLimit(js) {
+		index, ok := js.nextTask()
+		if !ok {
+			break
 		}
-		if len(taken) > 0 || reply.GetGiven() > 0 || reply.GetMaking() {
-			ask.next, ask.soonest = now.Add(50*time.Millisecond), now
+		js.took()
+		js.asking++
+		a := s.newAttempt(js, index)
+		s.trackRemoteLocked(a, node, "")
+		s.remote[a.Key].asked = true
+		w.Attempts = append(w.Attempts, &peerpb.Attempt{Task: a.Task, Attempt: a.Attempt})
+	}
+	return w
+}
+
+// takePlaceReplyLocked takes the peer's answer to req: the attempts that it
+// took move to their zone, the others are forgotten. Without an answer (err),
+// they stay tracked: asking what became of them settles them.
+func (s *Scheduler) takePlaceReplyLocked(node string, ask *peerRequestState, req *peerpb.PlaceRequest, reply *peerpb.PlaceReply, err error) {
+	ask.busy = false
+	now := time.Now()
+	ask.next, ask.soonest = now.Add(retryPeerAfter), now.Add(100*time.Millisecond)
+	if err != nil {
+		s.log.Debug("asking for room failed", "peer", node, "err", err)
+		ask.next = now.Add(time.Second)
+	}
+	taken := map[fleet.Key]*peerpb.Hosted{}
+	for _, h := range reply.GetTaken() {
+		taken[fleet.Key{Task: h.Attempt.Task, Attempt: h.Attempt.Attempt}] = h
+	}
+	for _, w := range req.Wanted {
+		for _, at := range w.Attempts {
+			s.takePlacedAttemptLocked(node, w.Job, fleet.Key{Task: at.Task, Attempt: at.Attempt}, taken, err)
 		}
-		s.poke()
-	})
+	}
+	if len(taken) > 0 || reply.GetGiven() > 0 || reply.GetMaking() {
+		ask.next, ask.soonest = now.Add(50*time.Millisecond), now
+	}
+	s.poke()
+}
+
+// takePlacedAttemptLocked settles one attempt of a request for room by the
+// answer: taken holds those that the peer took.
+func (s *Scheduler) takePlacedAttemptLocked(node, job string, key fleet.Key, taken map[fleet.Key]*peerpb.Hosted, err error) {
+	if js := s.jobs[job]; js != nil {
+		js.asking--
+	}
+	f := s.remote[key]
+	if f != nil {
+		f.asked = false
+	}
+	if f == nil || err != nil {
+		return // without an answer, asking what became of it settles it
+	}
+	if h := taken[key]; h != nil {
+		s.moveZoneLocked(f, h.Zone)
+		s.log.Debug("placed remotely", "task", key.Task, "attempt", key.Attempt, "to", node)
+		return
+	}
+	s.forgetRemoteLocked(f)
 }
 
 // moveZoneLocked notes in which zone a lent attempt is.
--- a/internal/scheduler/rent.go
+++ b/internal/scheduler/rent.go
@@ -98,68 +98,101 @@
 	if !s.loaded || !s.permitted() {
 		return nil
 	}
-	perZone := map[string]int{}
+	plan := s.newRentalPlanLocked(now)
+	for _, d := range s.demandLocked(now) {
+		s.planDemandLocked(plan, d, now)
+	}
+	s.planReserveLocked(plan, now)
+	return s.rentRequestsLocked(plan)
+}
+
+// rentalPlan is what one round of renting goes by: the machines that are
+// coming or would be rented, and how many machines each zone has then.
+type rentalPlan struct {
+	coming  []*plannedMachine
+	perZone map[string]int
+	rented  int // how many of coming are to be rented
+}
+
+// newRentalPlanLocked starts a plan with the machines that are here and those
+// that are booting in time.
+func (s *Scheduler) newRentalPlanLocked(now time.Time) *rentalPlan {
+	plan := &rentalPlan{perZone: map[string]int{}}
 	for _, m := range s.machines {
-		perZone[m.Zone]++
+		plan.perZone[m.Zone]++
 	}
-	var coming []*plannedMachine
 	for _, b := range s.supply.booting {
-		perZone[b.place.Zone]++
+		plan.perZone[b.place.Zone]++
 		t := s.types[b.place.Type]
 		// One that is late does not count: it may never come.
 		if t == nil || now.Sub(b.since) > time.Duration(1.7*t.BootS*float64(time.Second)) {
 			continue
 		}
-		coming = append(coming, &plannedMachine{place: b.place, free: placement.Capacity(t)})
+		plan.coming = append(plan.coming, &plannedMachine{place: b.place, free: placement.Capacity(t)})
 	}
-	rented := 0
-	rent := func(o *rentalOption) *plannedMachine {
-		v := &plannedMachine{place: o.place, free: placement.Capacity(o.t), rent: true}
-		coming = append(coming, v)
-		perZone[o.place.Zone]++
-		rented++
-		return v
+	return plan
+}
+
+// rent adds a machine of the option to the plan, to be rented.
+func (plan *rentalPlan) rent(o *rentalOption) *plannedMachine {
+	v := &plannedMachine{place: o.place, free: placement.Capacity(o.t), rent: true}
+	plan.coming = append(plan.coming, v)
+	plan.perZone[o.place.Zone]++
+	plan.rented++
+	return v
+}
+
+// planDemandLocked fits the tasks of one job that find no room onto the
+// machines of the plan, first fit, and rents where none takes the next.
+func (s *Scheduler) planDemandLocked(plan *rentalPlan, d unmetDemand, now time.Time) {
+	j := &d.job.rec.Job
+	zones := map[string]int{}
+	for z, n := range d.job.zones {
+		zones[z] = n
 	}
-	for _, d := range s.demandLocked(now) {
-		j := &d.job.rec.Job
-		zones := map[string]int{}
-		for z, n := range d.job.zones {
-			zones[z] = n
+	next := 0 // what does not take a task of the job takes none of its later ones
+	for range d.tasks {
+		for next < len(plan.coming) && (!d.job.size.Within(plan.coming[next].free) || !placement.Allows(j, plan.coming[next].place, placement.Spread{ByZone: zones})) {
+			next++
 		}
-		next := 0 // what does not take a task of the job takes none of its later ones
-		for range d.tasks {
-			for next < len(coming) && (!d.job.size.Within(coming[next].free) || !placement.Allows(j, coming[next].place, placement.Spread{ByZone: zones})) {
-				next++
+		if next == len(plan.coming) {
+			if plan.rented >= maxRentals {
+				return
 			}
-			if next == len(coming) {
-				if rented >= maxRentals {
-					break
-				}
-				o := s.rentalOptionLocked(j, d.job.size, zones, perZone, now)
-				if o == nil {
-					break
-				}
-				rent(o)
+			o := s.rentalOptionLocked(j, d.job.size, zones, plan.perZone, now)
+			if o == nil {
+				return
 			}
-			v := coming[next]
-			v.free = v.free.Minus(d.job.size)
-			zones[v.place.Zone]++
+			plan.rent(o)
 		}
+		v := plan.coming[next]
+		v.free = v.free.Minus(d.job.size)
+		zones[v.place.Zone]++
 	}
-	for lacking := s.reserveLackLocked(coming, now); lacking > 0 && rented < maxRentals; {
+}
+
+// planReserveLocked rents ordinary machines, or spot ones where there are
+// none, until the reserve lacks no CPUs.
+func (s *Scheduler) planReserveLocked(plan *rentalPlan, now time.Time) {
+	for lacking := s.reserveLackLocked(plan.coming, now); lacking > 0 && plan.rented < maxRentals; {
 		// Ordinary machines take any job.
-		o := s.rentalOptionLocked(&wire.Job{Tasks: 1}, placement.Resources{}, nil, perZone, now)
+		o := s.rentalOptionLocked(&wire.Job{Tasks: 1}, placement.Resources{}, nil, plan.perZone, now)
 		if o == nil {
-			o = s.rentalOptionLocked(&wire.Job{Tasks: 1, Spot: true}, placement.Resources{}, nil, perZone, now)
+			o = s.rentalOptionLocked(&wire.Job{Tasks: 1, Spot: true}, placement.Resources{}, nil, plan.perZone, now)
 		}
 		if o == nil {
 			break
 		}
-		rent(o)
+		plan.rent(o)
 		lacking -= max(o.t.CPUs, 1)
 	}
+}
+
+// rentRequestsLocked turns the machines of the plan that are to be rented into
+// requests, one for each place, each named once for good.
+func (s *Scheduler) rentRequestsLocked(plan *rentalPlan) []wire.RentRequest {
 	counts := map[placement.Place]int{}
-	for _, v := range coming {
+	for _, v := range plan.coming {
 		if v.rent {
 			counts[v.place]++
 		}
