--- a/internal/failovertest/proxy.go
+++ b/internal/failovertest/proxy.go
@@ -133,7 +133,7 @@
 func (p *Proxy) Rent(_ context.Context, req wire.RentRequest) ([]string, error) {
 	rented := make(chan []string, 2)
 	if !p.deliver(func() { rented <- p.checker.rent(p.node, req) }) {
-		return nil, cloud.ErrTrouble
+		return nil, cloud.ErrUnavailable
 	}
 	if names := <-rented; len(names) > 0 {
 		return names, nil
@@ -144,7 +144,7 @@
 // Return implements duty.Provider.
 func (p *Proxy) Return(_ context.Context, machines []string) error {
 	if !p.deliver(func() { p.checker.returnMachines(p.node, machines) }) {
-		return cloud.ErrTrouble
+		return cloud.ErrUnavailable
 	}
 	return nil
 }
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -81,12 +81,12 @@
 	f.mu.Unlock()
 	if stalled {
 		time.Sleep(stallFor)
-		return cloud.ErrTrouble
+		return cloud.ErrUnavailable
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down {
-		return cloud.ErrTrouble
+		return cloud.ErrUnavailable
 	}
 	return nil
 }
@@ -113,7 +113,7 @@
 	f.rentRequests[req.Request]++
 	if f.holding {
 		f.rentals = append(f.rentals, req)
-		return nil, cloud.ErrTrouble
+		return nil, cloud.ErrUnavailable
 	}
 	names := f.rentLocked(req)
 	if len(names) == 0 {
@@ -152,7 +152,7 @@
 	defer f.mu.Unlock()
 	if f.keeping {
 		f.returns = append(f.returns, machines)
-		return cloud.ErrTrouble
+		return cloud.ErrUnavailable
 	}
 	f.returnLocked(machines)
 	return nil
