--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -14,12 +14,18 @@
 // Fleet stands in for the cloud and the workers on its machines, and tells a
 // Checker what runs.
 type Fleet struct {
-	Types       []wire.MachineType
-	Capacity    int // machines that the cloud has
-	Boot        time.Duration
-	Fetch       time.Duration
+	// Types are the machine types that the cloud offers.
+	Types []wire.MachineType
+	// Capacity is how many machines the cloud has in all.
+	Capacity int
+	// Boot is how long a rented machine takes until its worker runs.
+	Boot time.Duration
+	// Fetch is how long a task takes to fetch its image before it runs.
+	Fetch time.Duration
+	// ReportEvery is the interval between two heartbeats of a worker.
 	ReportEvery time.Duration
-	Lease       time.Duration
+	// Lease is how long a worker's lease lasts without a renewal.
+	Lease time.Duration
 	// RunFor tells how long a task runs; 0: until stopped.
 	RunFor func(task string) time.Duration
 	// Ended, if set, hears of each task that is done.
@@ -29,7 +35,8 @@
 	// Report delivers a report to a controller: its status, the reply (200)
 	// or the node to report to (421).
 	Report func(node string, r *wire.Heartbeat) (status int, reply *wire.HeartbeatReply, redirect string)
-	Nodes  []string
+	// Nodes are the controllers' names, to which heartbeats are sent.
+	Nodes []string
 	// Checker sees what runs; Start makes one if there is none.
 	Checker *Checker
 
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -31,8 +31,9 @@
 	holdTransactions int // this many transactions are held back, unanswered
 	heldTransactions []wire.Txn
 	applied          []wire.Txn // the last that were carried out
-	Requests         int
-	Writes           int
+	// Requests counts the requests that reached the store; Writes the changes of the
+	// transactions it carried out or refused as too large.
+	Requests, Writes int
 	// RPS and WriteRPS are the limits, with bursts of a second's worth; 0:
 	// none. Refused counts what was over them.
 	RPS, WriteRPS float64
