--- a/cmd/failovertest/node.go
+++ b/cmd/failovertest/node.go
@@ -26,7 +26,7 @@
 // Run implements kong's interface of a command.
 func (c *nodeCommand) Run() error {
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError}))
-	failovertest.NewNode(failovertest.NodeOptions{Name: c.Node, Lease: c.Lease, State: state.NewHTTP(c.Address), Provider: cloud.NewClient(c.Address, unlimited),
+	failovertest.NewNode(failovertest.NodeOptions{Name: c.Node, Lease: c.Lease, State: state.NewHTTPTransport(c.Address), Provider: cloud.NewClient(c.Address, unlimited),
 		Seed: c.Seed, ActionInterval: c.Pace, Log: log}).Run(context.Background())
 	return nil
 }
--- a/cmd/heronwick/budget.go
+++ b/cmd/heronwick/budget.go
@@ -62,7 +62,7 @@
 	perSecond := headroom / balanceEvery.Seconds()
 	c.spare.Store(&spare{
 		requests: max(0, requests-perSecond*float64(w.Requests)-1), writes: max(0, writes-perSecond*float64(w.Writes)-1),
-		short: w.Longest > shortAfter, late: c.committer.Waited(state.Safety) > lateAfter,
+		short: w.Longest > shortAfter, late: c.committer.LongestWait(state.Safety) > lateAfter,
 	})
 	c.setRates()
 }
--- a/cmd/heronwick/controller.go
+++ b/cmd/heronwick/controller.go
@@ -29,7 +29,7 @@
 // peer is another controller, as the wiring uses it.
 type peer interface {
 	cluster.PeerClient
-	state.Doer
+	state.Transport
 	Place(ctx context.Context, req *peerpb.PlaceRequest) (*peerpb.PlaceReply, error)
 	Settle(ctx context.Context, req *peerpb.SettleRequest) (*peerpb.SettleReply, error)
 }
@@ -43,7 +43,7 @@
 
 // outside is everything beyond this process.
 type outside struct {
-	state   state.Doer
+	state   state.Transport
 	cloud   machineCloud
 	workers scheduler.Workers
 	peers   map[string]peer
@@ -55,7 +55,7 @@
 	out      outside
 	log      *slog.Logger
 
-	route     *state.Route
+	route     *state.FailoverTransport
 	budget    *state.Budget
 	client    *state.Client
 	committer *state.Committer
@@ -98,7 +98,7 @@
 func newController(settings *config.Settings, out outside, log *slog.Logger) *controller {
 	c := &controller{settings: settings, out: out, log: log}
 	c.latency = c.overload.Latency
-	c.route = state.NewRoute(out.state, c.statePeers)
+	c.route = state.NewFailoverTransport(out.state, c.statePeers)
 	c.budget = state.NewBudget(settings.StateRPS*otherPart, settings.StateWriteRPS*otherPart, settings.TxnOps)
 	c.client = state.NewClient(c.route, c.budget)
 	c.committer = state.NewCommitter(c.client, settings.TxnOps)
@@ -162,8 +162,8 @@
 }
 
 // statePeers returns the peers through which the state service can be reached.
-func (c *controller) statePeers() []state.Doer {
-	var doers []state.Doer
+func (c *controller) statePeers() []state.Transport {
+	var doers []state.Transport
 	for _, node := range c.members.StatePeers() {
 		doers = append(doers, c.out.peers[node])
 	}
@@ -342,7 +342,7 @@
 	if !c.catalog.Ready() || c.offers.Types() == nil {
 		return false
 	}
-	if c.route.OK(3 * time.Second) {
+	if c.route.Healthy(3 * time.Second) {
 		return !c.members.Isolated()
 	}
 	return c.members.PeersAlive() > 0 && len(c.members.StatePeers()) == 0
--- a/cmd/heronwick/main.go
+++ b/cmd/heronwick/main.go
@@ -136,7 +136,7 @@
 	var c *controller
 	workers := fleet.NewClient(settings.MaxConnections, func() int { return c.front.Connections() })
 	out := outside{
-		state:   state.NewHTTP(settings.State),
+		state:   state.NewHTTPTransport(settings.State),
 		cloud:   cloud.NewClient(settings.Cloud, settings.CloudRPS),
 		workers: workers,
 		peers:   map[string]peer{},
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -62,7 +62,7 @@
 	// the state service may have, zero if that is not known.
 	Teams    []string
 	MaxValue int
-	Route    *state.Route
+	Route    *state.FailoverTransport
 	Peers    map[string]PeerClient
 	// LeaseFor is the workers' lease; the confirmation TTL for answering their heartbeats
 	// without a fresh confirmation of the epoch is at most a quarter of it.
--- a/internal/cluster/grpc.go
+++ b/internal/cluster/grpc.go
@@ -81,7 +81,7 @@
 type Service struct {
 	peerpb.UnimplementedPeerServer
 	Cluster *Cluster
-	Route   *state.Route
+	Route   *state.FailoverTransport
 	Host    Host
 }
 
@@ -107,7 +107,7 @@
 
 // State implements peerpb.PeerServer.
 func (s *Service) State(ctx context.Context, req *peerpb.StateRequest) (*peerpb.StateReply, error) {
-	status, body, err := s.Route.Direct(ctx, req.Method, req.Target, req.Body)
+	status, body, err := s.Route.DoDirect(ctx, req.Method, req.Target, req.Body)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -144,7 +144,7 @@
 // after a revision.
 func (c *Cluster) status(after uint64) *peerpb.Status {
 	s := &peerpb.Status{Node: c.opts.Node, Incarnation: c.incarnation, FeatureLevel: uint32(supportedLevel),
-		StateOk: c.opts.Route.DirectOK(2 * time.Second)}
+		StateOk: c.opts.Route.DirectHealthy(2 * time.Second)}
 	c.opts.Status(s)
 	known := c.opts.Cancellations.KnownCancellations(after)
 	s.JobsRead, s.JobsRevision, s.JobsBase, s.Cancelled = known.Loaded, known.Revision, known.Base, toPeer(known.Recent)
--- a/internal/duty/actions.go
+++ b/internal/duty/actions.go
@@ -120,7 +120,7 @@
 }
 
 // record writes an intent, on the condition of the duty and of the caller's fence.
-func (a *Actions) record(ctx context.Context, g Guard, fence state.Fence, priority state.Priority, key string, record any) error {
+func (a *Actions) record(ctx context.Context, g Guard, fence state.FencingCondition, priority state.Priority, key string, record any) error {
 	if err := g.Check(); err != nil {
 		a.refused(g.id, g.token, err)
 		return err
@@ -135,7 +135,7 @@
 		Then: []wire.Change{{Put: key, Value: value}},
 	})))
 	var conflict *state.Conflict
-	if errors.As(err, &conflict) && conflict.Has(holderKey(g.id)) {
+	if errors.As(err, &conflict) && conflict.Includes(holderKey(g.id)) {
 		err = fmt.Errorf("%w: %s", ErrReplaced, g.id)
 		a.refused(g.id, g.token, err)
 	}
@@ -154,7 +154,7 @@
 
 // MaxCondemned returns how many of the machines fit one intent.
 func (a *Actions) MaxCondemned(machines []string) int {
-	return state.FittingNames(machines, condemnedOverhead, nameSyntax, a.opts.ValueBytes)
+	return state.NamesThatFit(machines, condemnedOverhead, nameSyntax, a.opts.ValueBytes)
 }
 
 // Condemnation is the right to return machines: an intent to do so is recorded, or
@@ -169,7 +169,7 @@
 // Condemn records that machines are to be returned. From then on nobody places on
 // them, so that returning them is harmless whenever it is carried out. fence ties
 // it to what the caller knows of who owns them.
-func (a *Actions) Condemn(ctx context.Context, id ID, fence state.Fence, machines []string, why string) (Condemnation, error) {
+func (a *Actions) Condemn(ctx context.Context, id ID, fence state.FencingCondition, machines []string, why string) (Condemnation, error) {
 	fresh := slices.DeleteFunc(slices.Clone(machines), a.Condemned)
 	if len(fresh) == 0 {
 		return Condemnation{id: id, machines: machines}, nil // also while nobody can hold the duty
@@ -339,7 +339,7 @@
 
 // RecordRentals records requests before they are sent, as many of them as fit one
 // intent. With duties off it records nothing and returns one that is open all the same.
-func (a *Actions) RecordRentals(ctx context.Context, g Guard, fence state.Fence, requests []wire.RentRequest) (OpenRental, error) {
+func (a *Actions) RecordRentals(ctx context.Context, g Guard, fence state.FencingCondition, requests []wire.RentRequest) (OpenRental, error) {
 	if g.unfenced || len(requests) == 0 {
 		return OpenRental{Requests: requests}, nil
 	}
--- a/internal/failovertest/node.go
+++ b/internal/failovertest/node.go
@@ -35,7 +35,7 @@
 type NodeOptions struct {
 	Name           string
 	Lease          time.Duration // 0: duties are off
-	State          state.Doer
+	State          state.Transport
 	Provider       Machines
 	Seed           uint64
 	ActionInterval time.Duration // between two actions
@@ -123,9 +123,9 @@
 }
 
 // fence ties what is written to the epoch.
-func (n *Node) fence() state.Fence {
+func (n *Node) fence() state.FencingCondition {
 	condition := n.membership().Epoch
-	return state.Fence{Condition: condition, Current: func() bool { return n.membership().Epoch == condition }}
+	return state.FencingCondition{Condition: condition, Current: func() bool { return n.membership().Epoch == condition }}
 }
 
 var (
--- a/internal/job/answers.go
+++ b/internal/job/answers.go
@@ -231,7 +231,7 @@
 
 // Finish records that every task of the job is done. With an outdated fence it
 // fails with a *state.Conflict that names no key.
-func (c *Store) Finish(ctx context.Context, r *Record, fence state.Fence) error {
+func (c *Store) Finish(ctx context.Context, r *Record, fence state.FencingCondition) error {
 	return c.end(ctx, r, wire.JobDone, &fence)
 }
 
@@ -239,7 +239,7 @@
 // tried until the store has answered. A write that waits for budget is dropped
 // once its fence is outdated or the job is over: it would only use up what other
 // writes wait for.
-func (c *Store) end(ctx context.Context, r *Record, s wire.JobState, fence *state.Fence) error {
+func (c *Store) end(ctx context.Context, r *Record, s wire.JobState, fence *state.FencingCondition) error {
 	f := finalOf(&r.Job, s, time.Now())
 	write := endWrite(r, &f, state.Safety)
 	write.Fresh = func() bool { return !c.Ended(r.Job.ID) }
--- a/internal/scheduler/bucketwrite.go
+++ b/internal/scheduler/bucketwrite.go
@@ -244,9 +244,9 @@
 }
 
 // fenceLocked ties writes to the division that the share goes by.
-func (s *Scheduler) fenceLocked() state.Fence {
+func (s *Scheduler) fenceLocked() state.FencingCondition {
 	fence := s.epoch.condition
-	return state.Fence{Condition: fence, Current: func() bool {
+	return state.FencingCondition{Condition: fence, Current: func() bool {
 		_, condition := s.opts.Authority.CurrentEpoch()
 		return condition == fence
 	}}
@@ -261,7 +261,7 @@
 // an earlier epoch.
 func (s *Scheduler) reread(ctx context.Context, p state.Priority, key string, err error) (version uint64, ok bool) {
 	var conflict *state.Conflict
-	if ctx.Err() != nil || errors.As(err, &conflict) && !conflict.Has(key) {
+	if ctx.Err() != nil || errors.As(err, &conflict) && !conflict.Includes(key) {
 		return 0, false
 	}
 	item, err := s.opts.Records.Get(ctx, p, key)
--- a/internal/scheduler/done.go
+++ b/internal/scheduler/done.go
@@ -197,7 +197,7 @@
 	}
 	err := s.opts.Jobs.Finish(ctx, js.rec, fence)
 	var conflict *state.Conflict
-	if errors.As(err, &conflict) && conflict.Has(js.rec.Condition().Key) {
+	if errors.As(err, &conflict) && conflict.Includes(js.rec.Condition().Key) {
 		s.log.Debug("writing the end of a job failed", "job", id, "err", err)
 		s.mu.Lock()
 		s.resolveLocked(id)
--- a/internal/scheduler/returns.go
+++ b/internal/scheduler/returns.go
@@ -70,7 +70,7 @@
 }
 
 // giveBack records that machines are to be returned, and returns them.
-func (s *Scheduler) giveBack(ctx context.Context, id duty.ID, fence state.Fence, names []string, why string) {
+func (s *Scheduler) giveBack(ctx context.Context, id duty.ID, fence state.FencingCondition, names []string, why string) {
 	send, err := s.condemn(ctx, id, fence, names, why)
 	if err != nil {
 		s.log.Info("machines are not returned for now", "machines", names, "err", err)
@@ -103,7 +103,7 @@
 
 // condemn records the return and gives what then carries it out. A cancelled task must
 // be gone by a time, also while the store cannot be reached.
-func (s *Scheduler) condemn(ctx context.Context, id duty.ID, fence state.Fence, names []string, why string) (send func(context.Context) error, err error) {
+func (s *Scheduler) condemn(ctx context.Context, id duty.ID, fence state.FencingCondition, names []string, why string) (send func(context.Context) error, err error) {
 	recording, overdue := ctx, why == whyOverdue
 	if overdue {
 		var cancel context.CancelFunc
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -73,7 +73,7 @@
 	Readiness(r *job.Record) job.Readiness
 	Resolve(ctx context.Context, id string) (f job.Outcome, over, found bool, err error)
 	ReadDone(ctx context.Context) ([]job.DoneBucket, error)
-	Finish(ctx context.Context, r *job.Record, fence state.Fence) error
+	Finish(ctx context.Context, r *job.Record, fence state.FencingCondition) error
 	SetProgress(id string, p job.Progress)
 }
 
--- a/internal/scheduler/supply.go
+++ b/internal/scheduler/supply.go
@@ -106,5 +106,5 @@
 // toTell returns as many of the machines that are gone as one write of so many bytes can
 // name.
 func (s *supply) toTell(limit int) []string {
-	return s.untold[:state.FittingNames(s.untold, 0, goneSyntax, limit)]
+	return s.untold[:state.NamesThatFit(s.untold, 0, goneSyntax, limit)]
 }
--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -34,13 +34,13 @@
 	mu       sync.Mutex
 	requests bucket
 	writes   bucket
-	// parts are what of the writes a priority may use by itself.
-	parts    [priorities]bucket
-	waiting  [priorities][]*waiter
-	timer    *time.Timer
-	pausedTo time.Time
-	usage    [priorities]Usage
-	window   Usage // since Window was last called
+	// priorityWrites are what of the writes a priority may use by itself.
+	priorityWrites [priorities]bucket
+	waiting        [priorities][]*waiter
+	timer          *time.Timer
+	pausedTo       time.Time
+	usage          [priorities]Usage
+	window         Usage // since Window was last called
 }
 
 // Window returns what was used since it was last called, of all priorities, and
@@ -52,7 +52,7 @@
 	w := b.window
 	b.window = Usage{}
 	for p := range priorities {
-		if b.limited(p) {
+		if b.capped(p) {
 			continue
 		}
 		for _, waiter := range b.waiting[p] {
@@ -62,10 +62,10 @@
 	return w
 }
 
-// limited tells whether a priority waits without being short of anything: it may
+// capped tells whether a priority waits without being short of anything: it may
 // not use all, or nobody waits for it.
-func (b *Budget) limited(p Priority) bool {
-	return p == Background || b.parts[p].rate < b.writes.rate
+func (b *Budget) capped(p Priority) bool {
+	return p == Background || b.priorityWrites[p].rate < b.writes.rate
 }
 
 // Usage is what was asked of the budget.
@@ -122,8 +122,8 @@
 	b.requests = bucket{rate: requests, level: max(requests, 1), burst: max(requests, 1), last: now}
 	burst := max(writes, float64(largest))
 	b.writes = bucket{rate: writes, level: burst, burst: burst, last: now}
-	for p := range b.parts {
-		b.parts[p] = b.writes
+	for p := range b.priorityWrites {
+		b.priorityWrites[p] = b.writes
 	}
 	return b
 }
@@ -153,8 +153,8 @@
 	defer b.mu.Unlock()
 	b.requests.setRate(r.Requests, 1)
 	b.writes.setRate(r.Writes, float64(largest))
-	for p := range b.parts {
-		b.parts[p].setRate(r.writesOf(Priority(p)), float64(largest))
+	for p := range b.priorityWrites {
+		b.priorityWrites[p].setRate(r.writesOf(Priority(p)), float64(largest))
 	}
 }
 
@@ -206,8 +206,8 @@
 	now := time.Now()
 	b.requests.refill(now)
 	b.writes.refill(now)
-	for p := range b.parts {
-		b.parts[p].refill(now)
+	for p := range b.priorityWrites {
+		b.priorityWrites[p].refill(now)
 	}
 	saving := false // somebody waits for writes
 	for p := range b.waiting {
@@ -233,10 +233,10 @@
 			}
 			b.requests.level--
 			b.writes.level -= w.granted
-			b.parts[p].level -= w.granted
+			b.priorityWrites[p].level -= w.granted
 			waited := now.Sub(w.since)
 			b.usage[p].add(int(w.granted), waited)
-			if b.limited(Priority(p)) {
+			if b.capped(Priority(p)) {
 				waited = 0
 			}
 			b.window.add(int(w.granted), waited)
@@ -248,7 +248,7 @@
 
 // availableTo is how many writes a priority may use now.
 func (b *Budget) availableTo(p Priority) float64 {
-	return min(b.writes.level, b.parts[p].level)
+	return min(b.writes.level, b.priorityWrites[p].level)
 }
 
 // shortfall tells how long a waiter has to wait for a request, and for its
@@ -256,7 +256,7 @@
 func (b *Budget) shortfall(now time.Time, p Priority, w *waiter) (requests, writes time.Duration) {
 	requests = max(b.pausedTo.Sub(now), b.requests.wait(1))
 	if w.least > 0 {
-		writes = max(b.writes.wait(w.least), b.parts[p].wait(w.least))
+		writes = max(b.writes.wait(w.least), b.priorityWrites[p].wait(w.least))
 	}
 	return requests, writes
 }
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -38,8 +38,8 @@
 // Error implements error.
 func (c *Conflict) Error() string { return fmt.Sprintf("conflict on %v", c.Failed) }
 
-// Has tells whether the key's condition failed.
-func (c *Conflict) Has(key string) bool {
+// Includes tells whether the key's condition failed.
+func (c *Conflict) Includes(key string) bool {
 	for _, k := range c.Failed {
 		if k == key {
 			return true
@@ -48,9 +48,9 @@
 	return false
 }
 
-// Doer carries one request to the state service. An error means that no
+// Transport carries one request to the state service. An error means that no
 // response came.
-type Doer interface {
+type Transport interface {
 	Do(ctx context.Context, method, target string, body []byte) (status int, reply []byte, err error)
 }
 
@@ -60,12 +60,12 @@
 
 // Client is a client of the state service.
 type Client struct {
-	doer   Doer
+	doer   Transport
 	budget *Budget
 }
 
 // NewClient makes a client that sends its requests through doer.
-func NewClient(doer Doer, budget *Budget) *Client {
+func NewClient(doer Transport, budget *Budget) *Client {
 	return &Client{doer: doer, budget: budget}
 }
 
--- a/internal/state/commit.go
+++ b/internal/state/commit.go
@@ -30,15 +30,15 @@
 	Since time.Time
 }
 
-// Fence ties writes to the epoch under which they were decided.
-type Fence struct {
+// FencingCondition ties writes to the epoch under which they were decided.
+type FencingCondition struct {
 	Condition wire.Condition
 	Current   func() bool // whether the condition can still hold, without asking the service
 	Since     time.Time   // when the writes were first decided, see Write
 }
 
 // Bind makes a write fail once the fence is outdated: unsent, where that is known.
-func (f Fence) Bind(w Write) Write {
+func (f FencingCondition) Bind(w Write) Write {
 	w.If = append([]wire.Condition{f.Condition}, w.If...)
 	w.Since = f.Since
 	fresh := w.Fresh
@@ -46,18 +46,18 @@
 	return w
 }
 
-type pending struct {
+type queuedWrite struct {
 	Write
-	ctx     context.Context
-	unknown bool // an earlier try had no response
-	alone   bool // a transaction with others beside it was rejected
-	done    chan outcome
+	ctx       context.Context
+	unknown   bool // an earlier try had no response
+	sendAlone bool // a transaction with others beside it was rejected
+	done      chan commitResult
 }
 
-// mayBeMade tells whether an earlier try may have made the write's changes.
-func (w *pending) mayBeMade() bool { return w.unknown && len(w.Then) > 0 }
+// mayHaveApplied tells whether an earlier try may have made the write's changes.
+func (w *queuedWrite) mayHaveApplied() bool { return w.unknown && len(w.Then) > 0 }
 
-type outcome struct {
+type commitResult struct {
 	revision uint64
 	err      error
 }
@@ -69,20 +69,20 @@
 	client *Client
 	ops    int
 	mu     sync.Mutex
-	lanes  [2]lane
+	queues [2]writeQueue
 }
 
-// lane is one of the two kinds of writes: those that only compare, and those
+// writeQueue is one of the two kinds of writes: those that only compare, and those
 // that change something. They go apart: a comparison that fails would cost a
 // transaction's changes once more, and need not wait for their limit.
-type lane struct {
-	queue    []*pending
+type writeQueue struct {
+	queue    []*queuedWrite
 	inFlight int
 	waiting  bool // one is waiting for budget
 }
 
 // insert puts a write behind those that have waited as long or longer.
-func (l *lane) insert(w *pending) {
+func (l *writeQueue) insert(w *queuedWrite) {
 	i := len(l.queue)
 	for i > 0 && l.queue[i-1].Since.After(w.Since) {
 		i--
@@ -112,10 +112,10 @@
 	if w.Since.IsZero() {
 		w.Since = time.Now()
 	}
-	p := &pending{Write: w, ctx: ctx, done: make(chan outcome, 1)}
-	l := &c.lanes[0]
+	p := &queuedWrite{Write: w, ctx: ctx, done: make(chan commitResult, 1)}
+	l := &c.queues[0]
 	if len(w.Then) > 0 {
-		l = &c.lanes[1]
+		l = &c.queues[1]
 	}
 	c.mu.Lock()
 	l.insert(p)
@@ -129,14 +129,14 @@
 	}
 }
 
-// Waited returns how long the write has waited that waits for the longest, of this
+// LongestWait returns how long the write has waited that waits for the longest, of this
 // priority and more important ones.
-func (c *Committer) Waited(p Priority) (longest time.Duration) {
+func (c *Committer) LongestWait(p Priority) (longest time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	for i := range c.lanes {
-		for _, w := range c.lanes[i].queue {
+	for i := range c.queues {
+		for _, w := range c.queues[i].queue {
 			if w.Priority <= p {
 				longest = max(longest, now.Sub(w.Since))
 			}
@@ -145,7 +145,7 @@
 	return longest
 }
 
-func (c *Committer) startLocked(l *lane) {
+func (c *Committer) startLocked(l *writeQueue) {
 	if l.inFlight < maxInFlight && len(l.queue) > 0 && !l.waiting {
 		l.inFlight++
 		l.waiting = true
@@ -155,7 +155,7 @@
 
 // next waits for budget and takes the next transaction's writes only then:
 // what is most urgent at that moment goes first.
-func (c *Committer) next(l *lane) []*pending {
+func (c *Committer) next(l *writeQueue) []*queuedWrite {
 	ctx := context.Background()
 	for {
 		c.mu.Lock()
@@ -167,7 +167,7 @@
 			c.mu.Unlock()
 			return nil
 		}
-		priority, writes := need(batch)
+		priority, writes := budgetFor(batch)
 		writes, err := c.client.budget.AcquireUpTo(ctx, priority, len(batch[0].Then), writes)
 		if err != nil {
 			continue // the context never ends
@@ -181,8 +181,8 @@
 	}
 }
 
-// need is what a transaction of the writes takes of the budget.
-func need(batch []*pending) (p Priority, writes int) {
+// budgetFor is what a transaction of the writes takes of the budget.
+func budgetFor(batch []*queuedWrite) (p Priority, writes int) {
 	p = priorities
 	for _, w := range batch {
 		p, writes = min(p, w.Priority), writes+len(w.Then)
@@ -202,21 +202,21 @@
 // would do one after the other: a write waits if one before it changes a key that
 // it changes too or depends on. In one transaction both would find the key as it
 // was: a job was cancelled and done at once.
-func (c *Committer) takeLocked(l *lane, maxOps int, remove bool) []*pending {
-	l.queue = slices.DeleteFunc(l.queue, func(w *pending) bool {
+func (c *Committer) takeLocked(l *writeQueue, maxOps int, remove bool) []*queuedWrite {
+	l.queue = slices.DeleteFunc(l.queue, func(w *queuedWrite) bool {
 		switch {
 		case w.Fresh != nil && !w.Fresh():
-			w.done <- outcome{err: &Conflict{}}
+			w.done <- commitResult{err: &Conflict{}}
 			return true
 		case w.ctx.Err() != nil:
 			// Whoever asked has given up, and asks again: what nobody waits
 			// for must not use up what others do.
-			w.done <- outcome{err: errors.Join(ErrUnavailable, w.ctx.Err())}
+			w.done <- commitResult{err: errors.Join(ErrUnavailable, w.ctx.Err())}
 			return true
 		}
 		return false
 	})
-	var batch, rest []*pending
+	var batch, rest []*queuedWrite
 	changed := map[string]bool{}
 	ops, conditions, size := 0, 0, 0
 	for p := range priorities {
@@ -230,7 +230,7 @@
 			}
 			bytes += 100 * len(w.If)
 			fits := ops+len(w.Then) <= maxOps && conditions+len(w.If) <= 4*c.ops && size+bytes <= maxTxnBytes
-			lonely := len(batch) > 0 && (w.alone || batch[0].alone)
+			lonely := len(batch) > 0 && (w.sendAlone || batch[0].sendAlone)
 			if lonely || !fits && (len(batch) > 0 || remove) || w.dependsOn(changed) {
 				rest = append(rest, w)
 				continue
@@ -248,7 +248,7 @@
 	return batch
 }
 
-func (c *Committer) run(l *lane) {
+func (c *Committer) run(l *writeQueue) {
 	batch := c.next(l)
 	defer func() {
 		c.mu.Lock()
@@ -278,17 +278,17 @@
 		switch {
 		case err == nil:
 			for _, w := range batch {
-				w.done <- outcome{revision: revision}
+				w.done <- commitResult{revision: revision}
 			}
 			return
 		case errors.As(err, &conflict):
-			batch = c.settleConflict(batch, conflict)
+			batch = c.resolveConflict(batch, conflict)
 		case errors.Is(err, ErrRejected):
 			c.splitRejected(l, batch, err)
 			return
 		default:
 			unknown := !errors.Is(err, ErrUnavailable)
-			var again []*pending
+			var again []*queuedWrite
 			for _, w := range batch {
 				// Most often the connection broke, and another path has an answer.
 				second := unknown && !w.unknown
@@ -300,7 +300,7 @@
 				if w.unknown {
 					err = errors.Join(ErrUnknown, err)
 				}
-				w.done <- outcome{err: err}
+				w.done <- commitResult{err: err}
 			}
 			batch = again
 			if len(batch) > 0 {
@@ -309,7 +309,7 @@
 			}
 		}
 		if len(batch) > 0 {
-			priority, writes := need(batch)
+			priority, writes := budgetFor(batch)
 			if err := c.client.budget.Acquire(context.Background(), priority, writes); err != nil {
 				return // the context never ends
 			}
@@ -320,22 +320,22 @@
 // splitRejected never sends a rejected transaction again unchanged: its writes
 // go one by one, and one that was rejected alone fails for good. What an earlier
 // try without response has done is read back.
-func (c *Committer) splitRejected(l *lane, batch []*pending, err error) {
+func (c *Committer) splitRejected(l *writeQueue, batch []*queuedWrite, err error) {
 	if len(batch) == 1 {
 		w := batch[0]
-		if !w.mayBeMade() {
-			w.done <- outcome{err: err}
+		if !w.mayHaveApplied() {
+			w.done <- commitResult{err: err}
 			return
 		}
 		if o := c.readBack(w, nil); o.err == nil {
 			w.done <- o
 			return
 		}
-		w.done <- outcome{err: err}
+		w.done <- commitResult{err: err}
 		return
 	}
 	for _, w := range batch {
-		w.alone = true
+		w.sendAlone = true
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -344,24 +344,24 @@
 	}
 }
 
-// settleConflict ends the writes whose conditions failed and returns the
+// resolveConflict ends the writes whose conditions failed and returns the
 // others, which go again at once. A write that had no response before may
 // have been carried out by that very try, so it is read back: here the
 // conflict proves that its conditions have moved on.
-func (c *Committer) settleConflict(batch []*pending, conflict *Conflict) []*pending {
-	var again []*pending
+func (c *Committer) resolveConflict(batch []*queuedWrite, conflict *Conflict) []*queuedWrite {
+	var again []*queuedWrite
 	for _, w := range batch {
 		var mine []string
 		for _, condition := range w.If {
-			if conflict.Has(condition.Key) {
+			if conflict.Includes(condition.Key) {
 				mine = append(mine, condition.Key)
 			}
 		}
 		switch {
 		case len(mine) == 0:
 			again = append(again, w)
-		case !w.mayBeMade():
-			w.done <- outcome{err: &Conflict{Failed: mine}}
+		case !w.mayHaveApplied():
+			w.done <- commitResult{err: &Conflict{Failed: mine}}
 		default:
 			w.done <- c.readBack(w, mine)
 		}
@@ -369,7 +369,7 @@
 	if len(again) == len(batch) {
 		// No key was named that anyone asked about: never loop on that.
 		for _, w := range again {
-			w.done <- outcome{err: conflict}
+			w.done <- commitResult{err: conflict}
 		}
 		return nil
 	}
@@ -378,7 +378,7 @@
 
 // readBack tells whether an earlier try of w was carried out: then every
 // change is in place, at one revision for the puts.
-func (c *Committer) readBack(w *pending, failed []string) outcome {
+func (c *Committer) readBack(w *queuedWrite, failed []string) commitResult {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	var revision uint64
@@ -388,17 +388,17 @@
 		switch {
 		case errors.Is(err, ErrNotFound):
 			if change.Put != "" {
-				return outcome{err: &Conflict{Failed: failed}}
+				return commitResult{err: &Conflict{Failed: failed}}
 			}
 		case err != nil:
-			return outcome{err: errors.Join(ErrUnknown, err)}
+			return commitResult{err: errors.Join(ErrUnknown, err)}
 		case change.Delete != "" || !sameJSON(item.Value, change.Value):
-			return outcome{err: &Conflict{Failed: failed}}
+			return commitResult{err: &Conflict{Failed: failed}}
 		default:
 			revision = max(revision, item.Version)
 		}
 	}
-	return outcome{revision: revision}
+	return commitResult{revision: revision}
 }
 
 func sameJSON(a, b json.RawMessage) bool {
--- a/internal/state/keys.go
+++ b/internal/state/keys.go
@@ -12,9 +12,9 @@
 	return fmt.Sprintf("%s%s/%d/%s", prefix, node, since, name)
 }
 
-// FittingNames returns how many of the names fit a value of so many bytes, one at least,
+// NamesThatFit returns how many of the names fit a value of so many bytes, one at least,
 // of which base are taken and each name takes so much beside itself.
-func FittingNames(names []string, base, each, limit int) int {
+func NamesThatFit(names []string, base, each, limit int) int {
 	size := base
 	for i, name := range names {
 		if size += len(name) + each; i > 0 && size > limit {
--- a/internal/state/route.go
+++ b/internal/state/route.go
@@ -15,14 +15,14 @@
 // transactions, and what users and a takeover read.
 const maxConnections = 32
 
-// HTTP sends requests straight to the state service.
-type HTTP struct {
+// HTTPTransport sends requests straight to the state service.
+type HTTPTransport struct {
 	client *fasthttp.HostClient
 }
 
-// NewHTTP makes a Doer for the state service at addr.
-func NewHTTP(addr string) *HTTP {
-	return &HTTP{client: &fasthttp.HostClient{
+// NewHTTPTransport makes a Doer for the state service at addr.
+func NewHTTPTransport(addr string) *HTTPTransport {
+	return &HTTPTransport{client: &fasthttp.HostClient{
 		Addr:                          addr,
 		MaxConns:                      maxConnections,
 		MaxIdleConnDuration:           time.Minute,
@@ -40,7 +40,7 @@
 }
 
 // Do implements Doer.
-func (h *HTTP) Do(ctx context.Context, method, target string, body []byte) (int, []byte, error) {
+func (h *HTTPTransport) Do(ctx context.Context, method, target string, body []byte) (int, []byte, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -69,90 +69,90 @@
 // directRetry is how long a failed direct path is left alone.
 const directRetry = time.Second
 
-// Route prefers the direct path to the state service and uses another
+// FailoverTransport prefers the direct path to the state service and uses another
 // controller's while the direct one fails: one node alone can be refused or
 // cut off while the others are served.
-type Route struct {
-	direct Doer
-	peers  func() []Doer // peers that lately reached the service themselves
-
-	mu     sync.Mutex
-	badTo  time.Time // the direct path is left alone until then
-	lastOK time.Time // when the direct path last answered
-	viaOK  time.Time // when any path last answered
-	next   int
+type FailoverTransport struct {
+	direct Transport
+	peers  func() []Transport // peers that lately reached the service themselves
+
+	mu            sync.Mutex
+	directRetryAt time.Time // the direct path is left alone until then
+	directOKAt    time.Time // when the direct path last answered
+	anyOKAt       time.Time // when any path last answered
+	next          int
 }
 
-// NewRoute makes a Route; peers may be nil.
-func NewRoute(direct Doer, peers func() []Doer) *Route {
-	return &Route{direct: direct, peers: peers}
+// NewFailoverTransport makes a Route; peers may be nil.
+func NewFailoverTransport(direct Transport, peers func() []Transport) *FailoverTransport {
+	return &FailoverTransport{direct: direct, peers: peers}
 }
 
-// DirectOK tells whether the direct path answered within d.
-func (r *Route) DirectOK(d time.Duration) bool {
+// DirectHealthy tells whether the direct path answered within d.
+func (r *FailoverTransport) DirectHealthy(d time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.lastOK.IsZero() && time.Since(r.lastOK) < d
+	return !r.directOKAt.IsZero() && time.Since(r.directOKAt) < d
 }
 
-// OK tells whether any path answered within d.
-func (r *Route) OK(d time.Duration) bool {
+// Healthy tells whether any path answered within d.
+func (r *FailoverTransport) Healthy(d time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.viaOK.IsZero() && time.Since(r.viaOK) < d
+	return !r.anyOKAt.IsZero() && time.Since(r.anyOKAt) < d
 }
 
-// Direct carries out a request for a peer, by the direct path only: a request
+// DoDirect carries out a request for a peer, by the direct path only: a request
 // must not wander among controllers that all are refused.
-func (r *Route) Direct(ctx context.Context, method, target string, body []byte) (int, []byte, error) {
+func (r *FailoverTransport) DoDirect(ctx context.Context, method, target string, body []byte) (int, []byte, error) {
 	status, reply, err := r.direct.Do(ctx, method, target, body)
-	r.note(status, err)
+	r.recordDirectResult(status, err)
 	return status, reply, err
 }
 
-func (r *Route) note(status int, err error) {
+func (r *FailoverTransport) recordDirectResult(status int, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
 	switch {
 	case err != nil || status == 503:
-		r.badTo = now.Add(directRetry)
+		r.directRetryAt = now.Add(directRetry)
 	default:
-		r.lastOK, r.viaOK, r.badTo = now, now, time.Time{}
+		r.directOKAt, r.anyOKAt, r.directRetryAt = now, now, time.Time{}
 	}
 }
 
 // Do implements Doer. After a 503, or without a connection, the request was surely
 // not carried out, and another path is tried at once; after silence the caller
 // must decide, since it may have been.
-func (r *Route) Do(ctx context.Context, method, target string, body []byte) (int, []byte, error) {
+func (r *FailoverTransport) Do(ctx context.Context, method, target string, body []byte) (int, []byte, error) {
 	r.mu.Lock()
-	direct := !time.Now().Before(r.badTo)
+	direct := !time.Now().Before(r.directRetryAt)
 	r.mu.Unlock()
 	if direct {
-		status, reply, err := r.Direct(ctx, method, target, body)
+		status, reply, err := r.DoDirect(ctx, method, target, body)
 		unsent := errors.Is(err, ErrNotSent) || err == nil && status == 503
 		if !unsent {
 			return status, reply, err
 		}
 	}
-	peer := r.pick()
+	peer := r.pickPeer()
 	if peer == nil {
 		if direct {
 			return 503, nil, nil
 		}
-		return r.Direct(ctx, method, target, body)
+		return r.DoDirect(ctx, method, target, body)
 	}
 	status, reply, err := peer.Do(ctx, method, target, body)
 	if err == nil && status != 503 {
 		r.mu.Lock()
-		r.viaOK = time.Now()
+		r.anyOKAt = time.Now()
 		r.mu.Unlock()
 	}
 	return status, reply, err
 }
 
-func (r *Route) pick() Doer {
+func (r *FailoverTransport) pickPeer() Transport {
 	if r.peers == nil {
 		return nil
 	}
