--- a/internal/scheduler/remote.go
+++ b/internal/scheduler/remote.go
@@ -111,14 +111,14 @@
 		if ask.busy || !held && now.Before(ask.next) || now.Before(ask.soonest) {
 			continue
 		}
-		s.requestPlacementLocked(node, ask, waiting, now)
+		s.requestPlacementLocked(node, ask, waiting)
 	}
 }
 
 // requestPlacementLocked asks one peer for room. The tasks count as placed
 // remotely before the request goes out: without an answer the peer may have
 // taken them.
-func (s *Scheduler) requestPlacementLocked(node string, ask *peerRequestState, waiting []*jobState, now time.Time) {
+func (s *Scheduler) requestPlacementLocked(node string, ask *peerRequestState, waiting []*jobState) {
 	req := s.placeRequestLocked(node, waiting)
 	if len(req.Wanted) == 0 {
 		return
