--- a/cmd/heronwick/controller.go
+++ b/cmd/heronwick/controller.go
@@ -126,10 +126,10 @@
 	c.catalog.SetReplicator(c.members)
 	c.chains = newChainWatch(c.catalog, c.owns, log)
 	c.front = server.New(server.Options{
-		Settings: settings, Jobs: c.catalog, Types: c.offers.Types, Checkin: c.checkin, Ready: c.ready,
-		Latency: func() time.Duration { return c.latency() }, Gauges: c.gauges(), Log: log,
-		Chains: func() []wire.DAG { return c.catalog.DependencyGraphs(time.Now()) },
-		Duties: c.dutyReport, HandOver: c.handOver, ClearDuty: c.clearDuty,
+		Settings: settings, Jobs: c.catalog, MachineTypes: c.offers.Types, HandleHeartbeat: c.checkin, Ready: c.ready,
+		SchedulingLatency: func() time.Duration { return c.latency() }, Gauges: c.gauges(), Log: log,
+		DependencyGraphs: func() []wire.DAG { return c.catalog.DependencyGraphs(time.Now()) },
+		DutyReport:       c.dutyReport, HandOverDuty: c.handOver, ClearDuty: c.clearDuty,
 	})
 	return c
 }
--- /dev/null
+++ b/internal/server/jobs.go
@@ -0,0 +1,170 @@
+package server
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"heronwick/internal/placement"
+	"heronwick/wire"
+)
+
+// Jobs accepts, reports on and cancels jobs. An error other than a
+// *wire.FieldError says that the user should try again.
+type Jobs interface {
+	// Submit accepts a job. If it was accepted before, its status is returned and
+	// created is false. The error is a *wire.FieldError if the job cannot be
+	// accepted as it is.
+	Submit(ctx context.Context, job wire.Job) (status wire.JobStatus, created bool, err error)
+	// Status returns the status of a job, if there is such a job.
+	Status(ctx context.Context, id string) (status wire.JobStatus, found bool, err error)
+	// Cancel cancels a job, if there is such a job, and returns its status then.
+	Cancel(ctx context.Context, id string) (status wire.JobStatus, found bool, err error)
+}
+
+// maxUserRequests bounds the user requests in progress. Beyond it they are
+// refused at once, so that workers' heartbeats are answered whatever users do.
+const maxUserRequests = 200
+
+// maxSubmitLatency is the scheduling latency from which on submissions are refused:
+// each takes several such waits, and would be answered later than its user waits,
+// while heartbeats and placements need its processor time. With a fourth of this a
+// short burst counted as an overload, and users' jobs were accepted later than
+// without any bound.
+const maxSubmitLatency = time.Second
+
+// limitUserRequests returns a handler that refuses requests while too many user
+// requests are in progress, and otherwise calls handle.
+func (s *Server) limitUserRequests(handle fasthttp.RequestHandler) fasthttp.RequestHandler {
+	return func(request *fasthttp.RequestCtx) {
+		select {
+		case s.userRequests <- struct{}{}:
+			defer func() { <-s.userRequests }()
+			handle(request)
+		default:
+			s.respondUnavailable(request, errTooManyRequests)
+		}
+	}
+}
+
+// submitJob accepts a job: 201 if it is new, 200 if it was accepted before.
+func (s *Server) submitJob(request *fasthttp.RequestCtx) {
+	ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
+	defer cancel()
+	job, err := wire.ParseJob(request.PostBody())
+	if err != nil {
+		s.rejectJob(ctx, request, job.ID, fasthttp.StatusBadRequest, err)
+		return
+	}
+	types := s.opts.MachineTypes()
+	if types == nil {
+		s.respondUnavailable(request, errNoMachineTypes)
+		return
+	}
+	if err := s.checkRunnable(&job, types); err != nil {
+		s.rejectJob(ctx, request, job.ID, fasthttp.StatusUnprocessableEntity, err)
+		return
+	}
+	if latency := s.opts.SchedulingLatency(); latency >= maxSubmitLatency {
+		s.respondUnavailable(request, fmt.Errorf("short of processor time: scheduling latency %v", latency))
+		return
+	}
+	status, created, err := s.opts.Jobs.Submit(ctx, job)
+	if _, rejected := errors.AsType[*wire.FieldError](err); rejected {
+		s.rejectJob(ctx, request, job.ID, fasthttp.StatusUnprocessableEntity, err)
+		return
+	}
+	switch {
+	case err != nil:
+		s.respondUnavailable(request, err)
+	case created:
+		s.respond(request, fasthttp.StatusCreated, status)
+	default:
+		s.respond(request, fasthttp.StatusOK, status)
+	}
+}
+
+// rejectJob rejects a job for good, unless it was accepted before: a repeated
+// submission is answered as such, whatever else it holds now. id is empty if it
+// could not be read.
+func (s *Server) rejectJob(ctx context.Context, request *fasthttp.RequestCtx, id string, code int, reason error) {
+	if id != "" {
+		status, found, err := s.opts.Jobs.Status(ctx, id)
+		if err != nil || found {
+			s.respondStatus(request, status, found, err)
+			return
+		}
+	}
+	s.respondError(request, code, reason)
+}
+
+// checkRunnable returns why a job can never run: its team is unknown, it needs
+// more than its team's limit, or no machine type fits its tasks.
+func (s *Server) checkRunnable(job *wire.Job, types []wire.MachineType) error {
+	if err := s.checkTeam(job); err != nil {
+		return err
+	}
+	if !placement.CanEver(job, types) {
+		return errFitsNoMachineType
+	}
+	return nil
+}
+
+// checkTeam returns a *wire.FieldError if teams are configured and the job's is
+// not among them, or if the least that the job needs at once is beyond its limit.
+func (s *Server) checkTeam(job *wire.Job) error {
+	if len(s.teams) == 0 {
+		return nil
+	}
+	team, known := s.teams[job.Team]
+	if !known {
+		return &wire.FieldError{Field: wire.FieldTeam, Reason: "no such team"}
+	}
+	concurrent := 1.0 // tasks that have to run at the same time
+	if job.Kind != wire.KindArray {
+		concurrent = float64(job.Tasks)
+	}
+	needed := placement.Of(job).Times(concurrent)
+	if team.CPUsMax > 0 && needed.CPUs > team.CPUsMax || team.GPUsMax > 0 && needed.GPUs > team.GPUsMax {
+		return &wire.FieldError{Field: wire.FieldTasks, Reason: "the job needs more than its team's limit"}
+	}
+	return nil
+}
+
+// jobStatus answers with the status of a job.
+func (s *Server) jobStatus(request *fasthttp.RequestCtx, id string) {
+	s.withJob(request, id, statusTimeout, s.opts.Jobs.Status)
+}
+
+// cancelJob cancels a job and answers with its status.
+func (s *Server) cancelJob(request *fasthttp.RequestCtx, id string) {
+	s.withJob(request, id, changeTimeout, s.opts.Jobs.Cancel)
+}
+
+// withJob calls action for a job and answers with the status that it returns.
+func (s *Server) withJob(request *fasthttp.RequestCtx, id string, timeout time.Duration,
+	action func(ctx context.Context, id string) (status wire.JobStatus, found bool, err error)) {
+	if !wire.ValidJobID(id) {
+		s.respondError(request, fasthttp.StatusNotFound, errNoSuchJob)
+		return
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	defer cancel()
+	status, found, err := action(ctx, id)
+	s.respondStatus(request, status, found, err)
+}
+
+// respondStatus answers with the status of a job, if there is such a job.
+func (s *Server) respondStatus(request *fasthttp.RequestCtx, status wire.JobStatus, found bool, err error) {
+	switch {
+	case err != nil:
+		s.respondUnavailable(request, err)
+	case !found:
+		s.respondError(request, fasthttp.StatusNotFound, errNoSuchJob)
+	default:
+		s.respond(request, fasthttp.StatusOK, status)
+	}
+}
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -7,29 +7,31 @@
 	"github.com/valyala/fasthttp/fasthttpadaptor"
 )
 
-const pathMetrics = "/metrics"
-
-// Gauge is a value that is read when the metrics are asked for.
+// Gauge is a metric whose value is read when the metrics are scraped.
 type Gauge struct {
+	// Name and Help are the metric's, in Prometheus' form.
 	Name, Help string
-	Value      func() float64
+	// Value returns the current value. It must be safe for concurrent use.
+	Value func() float64
 }
 
-// metrics counts what was answered. Everything else is read only when asked
-// for, so that nobody pays for metrics that nobody reads.
+// metrics counts the responses. Everything else is read only when the metrics
+// are scraped, so that metrics that nobody reads cost nothing.
 type metrics struct {
-	answers *prometheus.CounterVec
-	serve   fasthttp.RequestHandler
+	responses *prometheus.CounterVec
+	serve     fasthttp.RequestHandler
 }
 
+// newMetrics registers the counter of responses and the gauges with a registry
+// of its own.
 func newMetrics(gauges []Gauge) *metrics {
 	registry := prometheus.NewRegistry()
-	m := &metrics{answers: prometheus.NewCounterVec(prometheus.CounterOpts{
+	m := &metrics{responses: prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "heronwick_answers_total", Help: "Answers by kind of request and status.",
 	}, []string{"request", "status"})}
-	registry.MustRegister(m.answers)
-	for _, g := range gauges {
-		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: g.Name, Help: g.Help}, g.Value))
+	registry.MustRegister(m.responses)
+	for _, gauge := range gauges {
+		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: gauge.Name, Help: gauge.Help}, gauge.Value))
 	}
 	m.serve = fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	return m
