--- a/cmd/heronwick/main.go
+++ b/cmd/heronwick/main.go
@@ -136,8 +136,8 @@
 	var c *controller
 	workers := fleet.NewClient(settings.MaxConnections, func() int { return c.front.Connections() })
 	out := outside{
-		state:   state.NewHTTPTransport(settings.State),
-		cloud:   cloud.NewClient(settings.Cloud, settings.CloudRPS),
+		state:   state.NewHTTPTransport(settings.StateAddr),
+		cloud:   cloud.NewClient(settings.CloudAddr, settings.CloudRPS),
 		workers: workers,
 		peers:   map[string]peer{},
 	}
@@ -153,7 +153,7 @@
 	if err != nil {
 		return fmt.Errorf("listening for users and workers: %w", err)
 	}
-	peerLn, err := net.Listen("tcp", settings.Peer)
+	peerLn, err := net.Listen("tcp", settings.PeerListen)
 	if err != nil {
 		return fmt.Errorf("listening for peers: %w", err)
 	}
