--- a/internal/job/dependencies.go
+++ b/internal/job/dependencies.go
@@ -87,7 +87,7 @@
 		switch {
 		case before == nil:
 			e.unknown = append(e.unknown, id)
-		case len(e.conditions) >= maxConditions*c.commit.Ops():
+		case len(e.conditions) >= maxConditions*c.commit.MaxChanges():
 			e.partial = true
 		default:
 			e.conditions = append(e.conditions, before.Condition())
--- /dev/null
+++ b/internal/state/failover_test.go
@@ -0,0 +1,47 @@
+package state_test
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"testing"
+
+	"heronwick/internal/state"
+)
+
+// scriptedTransport answers every request alike and counts them.
+type scriptedTransport struct {
+	status int
+	err    error
+	calls  int
+}
+
+func (s *scriptedTransport) Do(context.Context, string, string, []byte) (int, []byte, error) {
+	s.calls++
+	return s.status, nil, s.err
+}
+
+// A request that was surely not sent goes through a peer at once; one whose
+// connection broke may have been carried out, so it does not.
+func TestFailoverOnlyOfUnsentRequests(t *testing.T) {
+	ctx := context.Background()
+	for _, test := range []struct {
+		direct scriptedTransport
+		want   int
+	}{
+		{scriptedTransport{err: fmt.Errorf("dialling: %w", state.ErrNotSent)}, 200},
+		{scriptedTransport{status: 503}, 200},
+		{scriptedTransport{err: errors.New("connection reset")}, 0},
+	} {
+		peer := &scriptedTransport{status: 200}
+		failover := state.NewFailoverTransport(&test.direct, func() []state.Transport { return []state.Transport{peer} })
+		status, _, err := failover.Do(ctx, "GET", "/", nil)
+		if status != test.want || (err != nil) != (test.want == 0) {
+			t.Errorf("direct %+v: got %d, %v", test.direct, status, err)
+		}
+	}
+	direct := &scriptedTransport{err: state.ErrNotSent}
+	if status, _, err := state.NewFailoverTransport(direct, nil).Do(ctx, "GET", "/", nil); status != 503 || err != nil {
+		t.Errorf("without a peer: got %d, %v", status, err)
+	}
+}
--- /dev/null
+++ b/internal/state/transport.go
@@ -0,0 +1,76 @@
+package state
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"time"
+
+	"github.com/valyala/fasthttp"
+)
+
+// Transport carries one request to the state service and returns the status
+// and the body of its response. An error means that no response came.
+type Transport interface {
+	Do(ctx context.Context, method, target string, body []byte) (status int, reply []byte, err error)
+}
+
+const (
+	// maxConnections bounds the requests that are in flight at once: a few
+	// watches and transactions, and what users and a takeover read.
+	maxConnections = 32
+	dialTimeout    = time.Second
+	// idleConnectionTimeout is how long an unused connection is kept.
+	idleConnectionTimeout = time.Minute
+)
+
+// HTTPTransport sends requests straight to the state service.
+type HTTPTransport struct {
+	client *fasthttp.HostClient
+}
+
+// NewHTTPTransport makes a Transport to the state service at addr.
+func NewHTTPTransport(addr string) *HTTPTransport {
+	return &HTTPTransport{client: &fasthttp.HostClient{
+		Addr:                          addr,
+		MaxConns:                      maxConnections,
+		MaxIdleConnDuration:           idleConnectionTimeout,
+		MaxIdemponentCallAttempts:     1, // a silent retry would hide that the first attempt may have been carried out
+		NoDefaultUserAgentHeader:      true,
+		DisableHeaderNamesNormalizing: true,
+		Dial:                          dialService,
+	}}
+}
+
+func dialService(addr string) (net.Conn, error) {
+	conn, err := fasthttp.DialTimeout(addr, dialTimeout)
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
+	}
+	return conn, nil
+}
+
+// Do implements Transport. A context without a deadline gets RequestTimeout.
+func (t *HTTPTransport) Do(ctx context.Context, method, target string, body []byte) (int, []byte, error) {
+	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(req)
+	defer fasthttp.ReleaseResponse(resp)
+	req.SetRequestURI("http://" + t.client.Addr + target)
+	req.Header.SetMethod(method)
+	if body != nil {
+		req.Header.SetContentType("application/json")
+		req.SetBodyRaw(body)
+	}
+	deadline, ok := ctx.Deadline()
+	if !ok {
+		deadline = time.Now().Add(RequestTimeout)
+	}
+	if err := t.client.DoDeadline(req, resp, deadline); err != nil {
+		if errors.Is(err, fasthttp.ErrNoFreeConns) {
+			err = fmt.Errorf("%w: %w", ErrNotSent, err)
+		}
+		return 0, nil, fmt.Errorf("%s %s: %w", method, target, err)
+	}
+	return resp.StatusCode(), append([]byte(nil), resp.Body()...), nil
+}
