--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -7,7 +7,8 @@
 	PathReturn   = "/rentals/return"
 )
 
-// Limits of the cloud's interface.
+// Limits of the cloud's interface: machines in one rental, one return and one
+// page of the list.
 const (
 	MaxRent     = 50
 	MaxReturn   = 100
@@ -15,6 +16,10 @@
 )
 
 // MachineType is a type of machine that the cloud rents.
+//
+// CacheGB is how much its image cache holds, FetchGBPerS how fast it fetches
+// images; prices are those of an hour; BootS is the usual time in seconds from the
+// rental until the machine is up.
 type MachineType struct {
 	Name        string   `json:"label"`
 	CPUs        float64  `json:"cores"`
@@ -33,8 +38,8 @@
 	Types []MachineType `json:"breeds"`
 }
 
-// RentRequest asks for machines. Request must never be used again for
-// another rental.
+// RentRequest asks for machines. Request makes the rental idempotent: it must
+// never be used again for another one.
 type RentRequest struct {
 	Request string `json:"tender"`
 	Type    string `json:"breed"`
@@ -43,7 +48,7 @@
 	Count   int    `json:"how_many"`
 }
 
-// MachineNames answers a rental, and asks for a return.
+// MachineNames is the answer to a rental and the request of a return.
 type MachineNames struct {
 	Machines []string `json:"perches"`
 }
@@ -58,7 +63,8 @@
 	MachineFailed  MachineState = "failed"
 )
 
-// Machine is one entry of the cloud's list.
+// Machine is one entry of the cloud's list; AgeS is the time in seconds since the
+// rental was requested, as of the moment of the list.
 type Machine struct {
 	ID      string       `json:"uid"`
 	Address string       `json:"address"`
--- a/wire/operator.go
+++ b/wire/operator.go
@@ -82,14 +82,14 @@
 	Requests []string `json:"requests"`
 }
 
-// DutyEvent records a change of a duty or an intent; TookS is its duration
-// in seconds.
+// DutyEvent is a change of a duty or an intent. Count is how many machines or
+// requests it concerns, TookS its duration in seconds.
 type DutyEvent struct {
 	At    time.Time `json:"at"`
 	Kind  string    `json:"kind"`
 	Duty  string    `json:"duty"`
 	Node  string    `json:"node"`
 	Token uint64    `json:"token"`
-	Count int       `json:"count"` // of machines or requests
+	Count int       `json:"count"`
 	TookS float64   `json:"took_s"`
 }
--- a/wire/state.go
+++ b/wire/state.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// Paths of the consensus-backed key-value store.
+// Paths of the state service, the consensus-backed key-value store.
 const (
 	PathKeys    = "/keys"
 	PathTxn     = "/txn"
@@ -11,7 +11,8 @@
 	SuffixRenew = "extend"
 )
 
-// Item is a key with its value. Version is the revision of its last change.
+// Item is a key with its value. Version is the revision of its last change, Lease
+// the lease that it expires with; 0: none.
 type Item struct {
 	Key     string          `json:"path"`
 	Value   json.RawMessage `json:"data"`
@@ -19,7 +20,7 @@
 	Lease   uint64          `json:"tether,omitempty"`
 }
 
-// ItemList is a page of keys.
+// ItemList is a page of keys, as of Revision.
 type ItemList struct {
 	Items    []Item `json:"items"`
 	More     bool   `json:"has_next"`
@@ -33,7 +34,7 @@
 	Version uint64 `json:"mark"`
 }
 
-// Change puts or deletes one key.
+// Change puts or deletes one key. A put with a Lease is undone when that expires.
 type Change struct {
 	Put    string          `json:"write,omitempty"`
 	Delete string          `json:"drop,omitempty"`
@@ -41,20 +42,21 @@
 	Lease  uint64          `json:"tether,omitempty"`
 }
 
-// Txn makes its changes when all its conditions hold.
+// Txn is a compare-and-swap: its changes are made together when all its
+// conditions hold.
 type Txn struct {
 	If   []Condition `json:"when"`
 	Then []Change    `json:"then"`
 }
 
-// TxnReply answers a transaction: Revision when it was carried out (200),
-// Failed when a condition did not hold (409).
+// TxnReply answers a transaction: Revision is that at which it was carried out
+// (200), Failed the keys of the conditions that did not hold (409).
 type TxnReply struct {
 	Revision uint64   `json:"tide"`
 	Failed   []string `json:"failed"`
 }
 
-// LeaseRequest asks for a lease.
+// LeaseRequest asks for a lease of so many milliseconds.
 type LeaseRequest struct {
 	TTLMs int64 `json:"life_ms"`
 }
@@ -72,7 +74,7 @@
 	Version uint64          `json:"mark"`
 }
 
-// Events is what a watch returns.
+// Events is the answer to a watch: the changes up to Revision, oldest first.
 type Events struct {
 	Revision uint64  `json:"tide"`
 	Events   []Event `json:"log"`
--- a/wire/worker.go
+++ b/wire/worker.go
@@ -8,16 +8,17 @@
 	PathStatus    = "/show"
 )
 
-// MaxCommands keeps a line to a worker below 64 KiB.
+// MaxCommands is the largest number of commands in one message. It keeps messages
+// to a worker below 64 KiB.
 const MaxCommands = 400
 
-// TaskState is what a worker says of a task on its machine.
+// TaskState is the state of a task on its machine, as its worker reports it.
 type TaskState string
 
 // The states of a task.
 const (
 	TaskFetching TaskState = "fetching"
-	TaskWaiting  TaskState = "gathering" // a gang's, for its peers
+	TaskWaiting  TaskState = "gathering" // a task of a gang: for the others
 	TaskRunning  TaskState = "running"
 	TaskSaving   TaskState = "saving"
 	TaskExited   TaskState = "ended"
@@ -34,11 +35,13 @@
 	ExitNoCapacity     ExitReason = "no_room"
 	ExitBusy           ExitReason = "busy"
 	ExitUnknown        ExitReason = "unknown"
-	ExitPeerLost       ExitReason = "peers" // a gang's: a peer has gone
-	ExitGangIncomplete ExitReason = "alone" // a gang's: its peers did not come
+	ExitPeerLost       ExitReason = "peers" // a task of a gang: another one was lost
+	ExitGangIncomplete ExitReason = "alone" // a task of a gang: the others did not start in time
 )
 
-// TaskStatus is the status of one task in a worker's heartbeat.
+// TaskStatus is the status of one attempt of a task in a worker's heartbeat.
+// Reason is set once it has exited; Checkpointed reports that a stopped task has
+// saved its progress.
 type TaskStatus struct {
 	Task         string     `json:"feather"`
 	Attempt      uint64     `json:"hop"`
@@ -49,7 +52,8 @@
 
 // Heartbeat is a worker's periodic report of its machine and tasks. Of two
 // heartbeats the one with the larger (Incarnation, Seq) is the newer one.
-// NoticeS is the spot preemption notice in seconds, nil when none was given.
+// NoticeS is the time in seconds until the cloud takes a spot machine away, nil
+// when it has given no notice.
 type Heartbeat struct {
 	Machine      string       `json:"perch"`
 	Address      string       `json:"address"`
@@ -63,17 +67,18 @@
 	Tasks        []TaskStatus `json:"feathers"`
 }
 
-// Op is what a command asks of a worker.
+// Op is the kind of a command.
 type Op string
 
-// The commands.
+// The kinds of command.
 const (
 	OpStart  Op = "launch"
 	OpStop   Op = "halt"
 	OpForget Op = "forget"
 )
 
-// Command asks a worker to do something to one attempt of a task.
+// Command tells a worker to start, stop or forget one attempt of a task. GraceS is
+// how many seconds a stopped task has to save its progress.
 type Command struct {
 	Op      Op       `json:"signal"`
 	Task    string   `json:"feather"`
@@ -94,7 +99,9 @@
 	Leader string `json:"heronry,omitempty"`
 }
 
-// CommandRequest carries commands straight to a worker.
+// CommandRequest sends commands to a worker directly, not in the reply to a
+// heartbeat. A worker of another incarnation, or one that has seen a higher fencing
+// token, rejects it (HTTP 409).
 type CommandRequest struct {
 	FencingToken uint64    `json:"crest"`
 	Incarnation  uint64    `json:"wading"`
