--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,46 +1,36 @@
-// Package duty gives each task that only one controller may do at a time to one
-// holder: renting machines, returning them, reclaiming those that nobody uses, and
-// removing records.
-//
-// A duty is held under a lease of the state service and a fencing token. The cloud
-// knows no token, so a lease that is checked before a request is sent is not
-// enough: the sender may freeze in between, or the request may be carried out
-// minutes later. Hence every action is preceded by an intent: a durable record,
-// written on the condition of the duty's token, after which the action is harmless
-// whenever it is carried out and by whomever. See docs/duties.md.
 package duty
 
 import (
-	"errors"
 	"fmt"
+	"slices"
 	"strings"
 )
 
-// Name says what a duty is for.
+// Name is the kind of work that a duty covers.
 type Name string
 
-// The duties.
+// The names of duties.
 const (
 	Rent    Name = "rent"    // renting machines
-	Return  Name = "return"  // returning the machines of a share
-	Reclaim Name = "reclaim" // returning machines that no share has
-	Cleanup Name = "cleanup" // removing records that decide nothing any more
+	Return  Name = "return"  // returning the machines of one shard
+	Reclaim Name = "reclaim" // returning machines that belong to no shard
+	Cleanup Name = "cleanup" // removing records that are no longer needed
 )
 
-// Names lists the duties.
+// Names lists the names of duties.
 func Names() []Name { return []Name{Rent, Return, Reclaim, Cleanup} }
 
-// Scope is what a duty extends to.
+// Scope is the part of the cluster that a duty covers: the whole fleet or one shard.
 type Scope string
 
-// Fleet is the scope of a duty that one controller has for all machines.
+// Fleet is the scope of a duty that covers all machines.
 const Fleet Scope = "fleet"
 
-// sharePrefix begins the scope of a duty for one controller's share.
-const sharePrefix = "share-"
+// shardPrefix precedes the node's name in the scope of a shard.
+const shardPrefix = "share-"
 
-// Share is the scope of a duty for the share of a node.
-func Share(node string) Scope { return Scope(sharePrefix + node) }
+// Share returns the scope of the shard that belongs to a node.
+func Share(node string) Scope { return Scope(shardPrefix + node) }
 
 // ID identifies a duty.
 type ID struct {
@@ -48,35 +38,20 @@
 	Scope Scope
 }
 
-// String implements fmt.Stringer.
+// String returns the ID in the form NAME/SCOPE.
 func (id ID) String() string { return string(id.Name) + "/" + string(id.Scope) }
 
-// ParseID reads the form that String gives.
+// compareIDs orders IDs by their text.
+func compareIDs(a, b ID) int { return strings.Compare(a.String(), b.String()) }
+
+// ParseID parses the form NAME/SCOPE. Any other text is ErrUnknownDuty.
 func ParseID(text string) (ID, error) {
 	name, scope, found := strings.Cut(text, "/")
 	if !found || scope == "" || strings.Contains(scope, "/") {
 		return ID{}, fmt.Errorf("%w: %q is not of the form NAME/SCOPE", ErrUnknownDuty, text)
 	}
-	for _, known := range Names() {
-		if Name(name) == known {
-			return ID{Name: known, Scope: Scope(scope)}, nil
-		}
+	if !slices.Contains(Names(), Name(name)) {
+		return ID{}, fmt.Errorf("%w: %q; the duties are %v", ErrUnknownDuty, name, Names())
 	}
-	return ID{}, fmt.Errorf("%w: %q; the duties are %v", ErrUnknownDuty, name, Names())
+	return ID{Name: Name(name), Scope: Scope(scope)}, nil
 }
-
-// Errors of this package.
-var (
-	ErrUnknownDuty = errors.New("unknown duty")
-	// ErrNotHeld: this controller does not hold the duty.
-	ErrNotHeld = errors.New("duty not held")
-	// ErrLapsed: this controller may no longer rely on its lease.
-	ErrLapsed = errors.New("the lease of the duty may have lapsed")
-	// ErrReplaced: another holder has taken the duty.
-	ErrReplaced = errors.New("replaced as holder of the duty")
-	// ErrDamaged: a record in the store cannot be read.
-	ErrDamaged    = errors.New("damaged record")
-	ErrNotDamaged = errors.New("the record of the duty can be read")
-	// ErrNoIntent: the action was not recorded before it was to be sent.
-	ErrNoIntent = errors.New("the action is not recorded")
-)
--- /dev/null
+++ b/internal/duty/fixture_test.go
@@ -0,0 +1,192 @@
+package duty
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"heronwick/internal/standin"
+	"heronwick/internal/state"
+	"heronwick/wire"
+	"log/slog"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// testLease is the lease of the duties in tests.
+const testLease = 6 * time.Second
+
+// Limits of the store in tests.
+const (
+	testChanges    = 16      // of a transaction
+	testValueBytes = 2 << 10 // of a value
+	unlimited      = 1000    // requests a second
+)
+
+// scriptedCloud is a fake Provider that records requests and answers as scripted.
+type scriptedCloud struct {
+	mu       sync.Mutex
+	returned []string
+	rented   []string // request names
+	errors   []error  // results of the next requests; nil afterwards
+}
+
+func (c *scriptedCloud) nextErrorLocked() (err error) {
+	if len(c.errors) > 0 {
+		err, c.errors = c.errors[0], c.errors[1:]
+	}
+	return err
+}
+
+// Rent implements Provider.
+func (c *scriptedCloud) Rent(_ context.Context, req wire.RentRequest) ([]string, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.rented = append(c.rented, req.Request)
+	return []string{"machine-of-" + req.Request}, c.nextErrorLocked()
+}
+
+// Return implements Provider.
+func (c *scriptedCloud) Return(_ context.Context, machines []string) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.returned = append(c.returned, machines...)
+	return c.nextErrorLocked()
+}
+
+// testController is a controller with a Keeper and Actions whose membership is scripted.
+type testController struct {
+	*Keeper
+	actions *Actions
+	ledger  *Ledger
+	client  *state.Client
+	log     bytes.Buffer
+	freeze  context.CancelFunc // stops its Keeper
+
+	mu         sync.Mutex
+	membership Membership
+	watchCut   bool // its watch delivers nothing
+}
+
+// set changes the membership that the controller sees.
+func (c *testController) set(change func(*Membership)) {
+	c.mu.Lock()
+	change(&c.membership)
+	c.mu.Unlock()
+	c.Poke()
+}
+
+func (c *testController) view() Membership {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.membership
+}
+
+// cutWatch cuts the controller's watch, or restores it.
+func (c *testController) cutWatch(cut bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.watchCut = cut
+}
+
+// fixture is the fake store and cloud of one test.
+type fixture struct {
+	t     *testing.T
+	ctx   context.Context
+	state *standin.State
+	cloud *scriptedCloud
+	epoch wire.Condition
+	// members are those of the epoch; nil: each controller sees itself as the only one.
+	members  map[string]uint64
+	notReady bool // some controller cannot decode what is stored
+}
+
+// withFixture runs a test under a fake clock.
+func withFixture(t *testing.T, test func(f *fixture)) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(context.Background())
+		f := &fixture{t: t, ctx: ctx, state: standin.NewState(), cloud: &scriptedCloud{}}
+		f.newEpoch()
+		test(f)
+		cancel()
+		f.state.SetOutage(false)
+		time.Sleep(10 * time.Second)
+	})
+}
+
+// newEpoch writes a new epoch to the store.
+func (f *fixture) newEpoch() {
+	f.epoch = wire.Condition{Key: "epoch", Version: f.state.Put("epoch", "any")}
+}
+
+// start starts a controller that is a member and the leader, and gives it time to acquire
+// its duties.
+func (f *fixture) start(node string, incarnation uint64) *testController {
+	c := &testController{}
+	log := slog.New(slog.NewTextHandler(&c.log, nil))
+	c.membership = Membership{Epoch: f.epoch, Since: incarnation, Leads: true, Members: map[string]uint64{node: incarnation}, Fresh: true}
+	if f.members != nil {
+		c.membership.Members = f.members
+	}
+	c.client = state.NewClient(f.state.Connect(node), state.NewBudget(unlimited, unlimited, testChanges))
+	c.ledger = NewLedger(log)
+	history := NewHistory()
+	c.Keeper = NewKeeper(KeeperOptions{Node: node, Incarnation: incarnation, Lease: testLease, Store: c.client, Ledger: c.ledger,
+		Ready: func() bool { return !f.notReady }, Membership: c.view, MaxChanges: testChanges, History: history, Log: log})
+	c.actions = NewActions(ActionsOptions{Node: node, Provider: f.cloud, Keeper: c.Keeper, Ledger: c.ledger,
+		Committer: state.NewCommitter(c.client, testChanges), Membership: c.view, ValueBytes: testValueBytes, History: history, Log: log})
+	go c.watch(f.ctx)
+	ctx, freeze := context.WithCancel(f.ctx)
+	c.freeze = freeze
+	go func() { _ = c.Run(ctx) }()
+	time.Sleep(200 * time.Millisecond)
+	return c
+}
+
+func (c *testController) watch(ctx context.Context) {
+	for after := uint64(0); ctx.Err() == nil; {
+		events, err := c.client.Watch(ctx, "cluster/", after, time.Second)
+		c.mu.Lock()
+		cut := c.watchCut
+		c.mu.Unlock()
+		if err != nil || cut {
+			time.Sleep(50 * time.Millisecond)
+			continue
+		}
+		c.ledger.Apply(events.Events, events.Revision)
+		after = max(after, events.Revision)
+		c.Poke()
+	}
+}
+
+// fence returns a condition on the current epoch whose local check always holds.
+func (f *fixture) fence() state.FencingCondition {
+	return state.FencingCondition{Condition: f.epoch, Current: func() bool { return true }}
+}
+
+var (
+	reclaim = ID{Reclaim, Fleet}
+	rent    = ID{Rent, Fleet}
+	cleanup = ID{Cleanup, Fleet}
+)
+
+// expectGuard checks the result of guarding the reclaim duty; nil: it is held.
+func (c *testController) expectGuard(t *testing.T, want error) {
+	t.Helper()
+	if _, err := c.Guard(reclaim); !errors.Is(err, want) || want == nil && err != nil {
+		t.Errorf("Guard: %v, want %v", err, want)
+	}
+}
+
+// awaitAcquisition gives a controller, in whose epoch no other one is a member, time to
+// acquire the duty.
+func (f *fixture) awaitAcquisition(next *testController) {
+	next.set(func(m *Membership) { m.Epoch = f.epoch })
+	time.Sleep(200 * time.Millisecond)
+	next.expectGuard(f.t, nil)
+}
+
+func (c *testController) tokenOf(id ID) uint64 {
+	return c.ledger.holderOf(id).token
+}
--- a/internal/duty/guard.go
+++ b/internal/duty/guard.go
@@ -1,20 +1,24 @@
 package duty
 
 import (
+	"fmt"
+	"time"
+
 	"heronwick/internal/state"
 	"heronwick/wire"
 )
 
-// Guard is the right to act for a duty. Only a Keeper makes one that is of use: the
-// zero Guard permits nothing.
+// Guard is the right to act for a duty under one fencing token. Keeper.Guard makes it;
+// the zero Guard permits nothing.
 type Guard struct {
 	keeper   *Keeper
 	id       ID
 	token    uint64
-	unfenced bool
+	unfenced bool // duties are off: every action is permitted
 }
 
-// Check tells whether the duty is still held as when the Guard was made.
+// Check returns nil while the duty is held under the Guard's token, and otherwise
+// ErrNotHeld, ErrReplaced, ErrLeaseExpired or ErrCorrupt.
 func (g Guard) Check() error {
 	if g.unfenced {
 		return nil
@@ -25,7 +29,8 @@
 	return g.keeper.check(g.id, g.token)
 }
 
-// Conditions fence a transaction: it fails once another holder has taken the duty.
+// Conditions returns the conditions that make a transaction fail once another controller
+// has acquired the duty.
 func (g Guard) Conditions() []wire.Condition {
 	if g.unfenced {
 		return nil
@@ -33,8 +38,45 @@
 	return []wire.Condition{{Key: holderKey(g.id), Version: g.token}}
 }
 
-// Bind makes a write fail once another holder has taken the duty.
+// Bind adds the Guard's conditions to a write.
 func (g Guard) Bind(w state.Write) state.Write {
 	w.If = append(g.Conditions(), w.If...)
 	return w
 }
+
+// Guard returns the right to act for a duty, or the error that Guard.Check would return.
+// With duties off every controller has it.
+func (k *Keeper) Guard(id ID) (Guard, error) {
+	if !k.Active() {
+		return Guard{unfenced: true}, nil
+	}
+	h := k.opts.Ledger.holderOf(id)
+	if err := k.check(id, h.token); err != nil {
+		return Guard{}, err
+	}
+	return Guard{keeper: k, id: id, token: h.token}, nil
+}
+
+// check returns nil if this controller holds a duty under a token: the watch has shown
+// its holder record, and so everything written before, and the lease cannot have expired.
+func (k *Keeper) check(id ID, token uint64) error {
+	membership := k.opts.Membership()
+	h := k.opts.Ledger.holderOf(id)
+	s := k.currentSession()
+	switch {
+	case h.corrupt:
+		return fmt.Errorf("%w: %s", ErrCorrupt, id)
+	case h.token != token && token != 0 && h.Node != k.opts.Node:
+		return fmt.Errorf("%w: %s is held by %q", ErrReplaced, id, h.Node)
+	case h.token != token || !k.isOwn(h, s, membership) || k.opts.Ledger.sessionOf(k.opts.Node) != s.version:
+		return fmt.Errorf("%w: %s", ErrNotHeld, id)
+	case !s.valid(time.Now()):
+		return fmt.Errorf("%w: %s", ErrLeaseExpired, id)
+	}
+	return nil
+}
+
+// isOwn tells whether a holder record names this controller's session and membership.
+func (k *Keeper) isOwn(h holder, s session, m Membership) bool {
+	return !h.corrupt && h.Node == k.opts.Node && h.Session == s.version && s.version != 0 && h.Since == m.Since
+}
--- /dev/null
+++ b/internal/duty/intents.go
@@ -0,0 +1,129 @@
+package duty
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+
+	"heronwick/internal/state"
+	"heronwick/wire"
+)
+
+// openReturn is an intent to return machines that is not closed.
+type openReturn struct {
+	returnRecord
+	key     string
+	version uint64
+}
+
+// OpenRental is an intent to rent that is not closed.
+type OpenRental struct {
+	Requests []wire.RentRequest
+	token    uint64
+	key      string // "": it was not recorded, since duties are off
+	version  uint64
+}
+
+// Condemned tells whether an open intent returns a machine: no controller may place on it.
+func (l *Ledger) Condemned(machine string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.machines[machine] != ""
+}
+
+// Abandoned returns, sorted, the machines of open intents to return that only the leader
+// completes: their node is no longer a member, as current tells of a membership, or they
+// were recorded by an earlier holder of a duty for the fleet.
+func (l *Ledger) Abandoned(current func(node string, since uint64) bool) []string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	var machines []string
+	for machine, key := range l.machines {
+		node, since, ok := state.MemberOfKey(returnPrefix, key)
+		if !ok || !current(node, since) || l.supersededLocked(l.entries[key].returnIntent) {
+			machines = append(machines, machine)
+		}
+	}
+	slices.Sort(machines)
+	return machines
+}
+
+// supersededLocked tells whether an intent was recorded by an earlier holder of a duty for
+// the fleet. A shard completes its own intents, whatever their token.
+func (l *Ledger) supersededLocked(intent *returnRecord) bool {
+	id, err := ParseID(intent.Duty)
+	return err == nil && id.Scope == Fleet && l.holders[id].token != intent.Token
+}
+
+// OpenIntents counts the intents of all controllers that are not closed.
+func (l *Ledger) OpenIntents() (returns, rentals int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, e := range l.entries {
+		if e.returnIntent != nil {
+			returns++
+		}
+		if e.rentalIntent != nil {
+			rentals++
+		}
+	}
+	return returns, rentals
+}
+
+// openReturns returns the open intents to return, by key.
+func (l *Ledger) openReturns() []openReturn {
+	return sortedEntries(l, func(a, b openReturn) int { return strings.Compare(a.key, b.key) },
+		func(key string, e entry) (openReturn, bool) {
+			if e.returnIntent == nil {
+				return openReturn{}, false
+			}
+			return openReturn{returnRecord: *e.returnIntent, key: key, version: e.version}, true
+		})
+}
+
+// openRentals returns the open intents to rent, the oldest first.
+func (l *Ledger) openRentals() []OpenRental {
+	return sortedEntries(l, func(a, b OpenRental) int { return cmp.Compare(a.version, b.version) }, newOpenRental)
+}
+
+// sortedEntries returns, in the order of compare, what convert makes of the ledger's
+// entries; it leaves out those for which convert returns false.
+func sortedEntries[T any](l *Ledger, compare func(a, b T) int, convert func(key string, e entry) (T, bool)) []T {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	var open []T
+	for key, e := range l.entries {
+		if intent, ok := convert(key, e); ok {
+			open = append(open, intent)
+		}
+	}
+	slices.SortFunc(open, compare)
+	return open
+}
+
+// newOpenRental returns the intent to rent that an entry holds, if it holds one.
+func newOpenRental(key string, e entry) (OpenRental, bool) {
+	if e.rentalIntent == nil {
+		return OpenRental{}, false
+	}
+	return OpenRental{Requests: e.rentalIntent.Requests, token: e.rentalIntent.Token, key: key, version: e.version}, true
+}
+
+// openRental returns the open intent to rent at a key, if there is one.
+func (l *Ledger) openRental(key string) (OpenRental, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return newOpenRental(key, l.entries[key])
+}
+
+// hasRentalIntent tells whether a request is part of an open intent to rent.
+func (l *Ledger) hasRentalIntent(request string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, e := range l.entries {
+		if e.rentalIntent != nil && slices.ContainsFunc(e.rentalIntent.Requests, func(r wire.RentRequest) bool { return r.Request == request }) {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/duty/keeper_test.go
@@ -0,0 +1,135 @@
+package duty
+
+import (
+	"errors"
+	"heronwick/internal/state"
+	"heronwick/wire"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+// A controller whose epoch is outdated or whose session is gone acquires nothing.
+func TestAcquisitionRequiresCurrentEpochAndSession(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		before func(f *fixture, controller *testController)
+	}{
+		{"outdated epoch", func(f *fixture, _ *testController) { f.newEpoch() }},
+		{"no session", func(f *fixture, controller *testController) {
+			controller.cutWatch(true)
+			time.Sleep(2 * time.Second)
+			if _, err := controller.client.Txn(f.ctx, state.Urgent, wire.Txn{Then: []wire.Change{{Delete: sessionKey("a")}}}); err != nil {
+				t.Fatal(err)
+			}
+		}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			withFixture(t, func(f *fixture) {
+				controller := f.start("a", 1)
+				controller.set(func(m *Membership) { m.Leads = false })
+				time.Sleep(testLease)
+				resigned := controller.tokenOf(reclaim)
+				test.before(f, controller)
+				controller.set(func(m *Membership) { m.Leads = true })
+				time.Sleep(testLease)
+				if version := f.state.Version(holderKey(reclaim)); version != resigned {
+					t.Errorf("holder record has version %d, want %d", version, resigned)
+				}
+				controller.cutWatch(false)
+				controller.set(func(m *Membership) { m.Epoch = f.epoch })
+				time.Sleep(testLease)
+				controller.expectGuard(t, nil) // acquired once both are current
+			})
+		})
+	}
+}
+
+// A session of a later incarnation of the node ends that of this one at once.
+func TestSessionOfLaterIncarnationEndsGuard(t *testing.T) {
+	withFixture(t, func(f *fixture) {
+		controller := f.start("a", 1)
+		controller.freeze()
+		controller.ledger.applyWrite(sessionKey("a"), encode(sessionRecord{Incarnation: 2}), 1<<40)
+		controller.expectGuard(t, ErrNotHeld)
+	})
+}
+
+// Tokens rise with every holder, also after the record was removed.
+func TestTokensAlwaysRise(t *testing.T) {
+	withFixture(t, func(f *fixture) {
+		controller := f.start("a", 1)
+		last := controller.tokenOf(reclaim)
+		expectHigher := func(after string) {
+			t.Helper()
+			time.Sleep(3 * testLease)
+			controller.expectGuard(t, nil)
+			if token := controller.tokenOf(reclaim); token <= last {
+				t.Errorf("%s: token %d is not above %d", after, token, last)
+			}
+			last = controller.tokenOf(reclaim)
+		}
+		if err := controller.HandOver(f.ctx, reclaim); err != nil {
+			t.Fatal(err)
+		}
+		expectHigher("handed over")
+		if _, err := controller.client.Txn(f.ctx, state.Urgent, wire.Txn{Then: []wire.Change{{Delete: holderKey(reclaim)}}}); err != nil {
+			t.Fatal(err)
+		}
+		expectHigher("removed")
+		controller.set(func(m *Membership) { m.Since = 9; m.Members = map[string]uint64{"a": 9} })
+		expectHigher("another membership")
+	})
+}
+
+// A controller that restarts at once does not wait for the lease of its earlier
+// incarnation, which holds nothing from then on, even if it still runs.
+func TestRestartedNodeAcquiresAtOnce(t *testing.T) {
+	withFixture(t, func(f *fixture) {
+		previous := f.start("a", 1)
+		guard, _ := previous.Guard(reclaim)
+		previous.freeze()
+		next := f.start("a", 2)
+		next.expectGuard(t, nil)
+		if guard.Check() == nil {
+			t.Error("the earlier incarnation still holds the duty")
+		}
+		if _, err := previous.actions.Condemn(f.ctx, reclaim, f.fence(), []string{"m1"}, "idle"); err == nil {
+			t.Error("the earlier incarnation recorded a return")
+		}
+	})
+}
+
+// A record that cannot be decoded is logged and reported, and never treated as free.
+func TestCorruptRecord(t *testing.T) {
+	withFixture(t, func(f *fixture) {
+		f.state.Put(holderKey(reclaim), 7)
+		f.state.Put(returnPrefix+"x/1/1", map[string]any{"machines": []string{"m9"}, "token": "seven"})
+		controller := f.start("a", 1)
+		time.Sleep(testLease)
+		controller.expectGuard(t, ErrCorrupt)
+		if !strings.Contains(controller.log.String(), "cannot be decoded") {
+			t.Error("the corrupt record is not logged")
+		}
+		if !controller.ledger.Condemned("m9") {
+			t.Error("a machine of a corrupt intent may be placed on")
+		}
+		if err := controller.Clear(f.ctx, rent); !errors.Is(err, ErrNotCorrupt) {
+			t.Errorf("clearing a record that is not corrupt: %v", err)
+		}
+		report := controller.Report()
+		if i := slices.IndexFunc(report.Duties, func(d wire.Duty) bool { return d.Corrupt }); i < 0 {
+			t.Errorf("the report lists no corrupt duty: %+v", report.Duties)
+		}
+		corrupt := controller.tokenOf(reclaim)
+		if err := controller.Clear(f.ctx, reclaim); err != nil {
+			t.Fatal(err)
+		}
+		time.Sleep(testLease)
+		controller.expectGuard(t, nil)
+		if token := controller.tokenOf(reclaim); token <= corrupt {
+			t.Errorf("token %d is not above %d", token, corrupt)
+		}
+	})
+}
--- a/internal/duty/record.go
+++ b/internal/duty/record.go
@@ -7,42 +7,43 @@
 	"heronwick/wire"
 )
 
-// Keys of the state service that this package owns. They are below the prefix that
-// package cluster watches, so that they are seen in one order with the epoch: who
-// knows an epoch knows every intent that was written under an older one.
+// Keys of the state service that this package owns. They lie below the prefix that
+// package cluster watches, so a watch delivers them in one order with the epoch: a
+// controller that has seen an epoch has seen every intent written under an older one.
 const (
-	holderPrefix    = "cluster/duty/holder/"
-	sessionPrefix   = "cluster/duty/session/"
-	condemnedPrefix = "cluster/duty/condemned/"
-	rentalPrefix    = "cluster/duty/rental/"
+	dutyPrefix    = "cluster/duty/"
+	holderPrefix  = dutyPrefix + "holder/"
+	sessionPrefix = dutyPrefix + "session/"
+	returnPrefix  = dutyPrefix + "condemned/"
+	rentalPrefix  = dutyPrefix + "rental/"
 )
 
-// holderRecord is the value of a duty's key. It is not leased and never removed: the
-// key's version is the duty's token, so no token is ever used twice, and it would
-// not be even if the key were removed, since the store's revision only rises.
+// holderRecord is the value of a duty's key. It is not attached to a lease and never
+// removed, except by Keeper.Clear: the key's version is the duty's fencing token. Tokens
+// rise even across a removal, since the store's revision only rises.
 type holderRecord struct {
-	Node    string `json:"node"`    // "": nobody holds it
-	Since   uint64 `json:"since"`   // of the holder's membership
+	Node    string `json:"node"`    // "": the duty is not held
+	Since   uint64 `json:"since"`   // epoch version from which the holder is a member
 	Session uint64 `json:"session"` // version of the holder's session key
 }
 
-// sessionRecord is the value of a controller's session key, which is attached to
-// a lease: while the key has its version, the lease has not lapsed.
+// sessionRecord is the value of a controller's session key, which is attached to a
+// lease: the lease has not expired while the key has the version recorded by a holder.
 type sessionRecord struct {
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// condemnedRecord is an intent to return machines. Nobody places on them again,
-// whoever owns them, so that the return harms nothing whenever it is carried out.
-type condemnedRecord struct {
+// returnRecord is an intent to return machines. No controller places on them again, so
+// returning them is safe at any later time.
+type returnRecord struct {
 	Duty     string   `json:"duty"`
 	Token    uint64   `json:"token"`
-	Why      string   `json:"why"`
+	Reason   string   `json:"why"`
 	Machines []string `json:"machines"`
 }
 
-// rentalRecord is an intent to rent. Whoever holds the duty later repeats what is in
-// it under the same request names, which rents nothing twice.
+// rentalRecord is an intent to rent. A later holder of the duty repeats its requests
+// under the same request names, which rents nothing twice.
 type rentalRecord struct {
 	Token    uint64             `json:"token"`
 	Requests []wire.RentRequest `json:"requests"`
@@ -52,10 +53,10 @@
 
 func sessionKey(node string) string { return sessionPrefix + node }
 
-// isOwnKey tells whether a key belongs to this package.
-func isOwnKey(key string) bool { return strings.HasPrefix(key, "cluster/duty/") }
+// isDutyKey tells whether a key belongs to this package.
+func isDutyKey(key string) bool { return strings.HasPrefix(key, dutyPrefix) }
 
-// encode writes a record of this package, which holds nothing that cannot be.
+// encode returns a record's stored form. The records of this package always encode.
 func encode(record any) json.RawMessage {
 	value, err := json.Marshal(record)
 	if err != nil {
--- a/internal/duty/report.go
+++ b/internal/duty/report.go
@@ -7,35 +7,55 @@
 	"heronwick/wire"
 )
 
-// Report tells an operator what this controller knows of the duties.
+// Report returns this controller's view of the duties for an operator. Its lists are never
+// nil.
 func (k *Keeper) Report() wire.Duties {
-	report := wire.Duties{Node: k.opts.Node, Active: k.Active(), LeaseS: k.opts.Lease.Seconds(),
-		Duties: []wire.Duty{}, Returns: []wire.ReturnIntent{}, Rentals: []wire.RentalIntent{}, Events: []wire.DutyEvent{}, Counts: map[string]int{}}
+	report := wire.Duties{
+		Node: k.opts.Node, Active: k.Active(), LeaseS: k.opts.Lease.Seconds(),
+		Duties: k.reportDuties(), Returns: k.opts.Ledger.reportReturns(), Rentals: k.opts.Ledger.reportRentals(),
+		Events: k.opts.History.Events(), Counts: map[string]int{},
+	}
+	for _, kind := range Kinds() {
+		report.Counts[string(kind)] = k.opts.History.Count(kind)
+	}
+	return report
+}
+
+// reportDuties lists the duties by ID.
+func (k *Keeper) reportDuties() []wire.Duty {
+	duties := []wire.Duty{}
 	for id, h := range k.opts.Ledger.allHolders() {
-		report.Duties = append(report.Duties, wire.Duty{ID: id.String(), Holder: h.Node, Token: h.token, Corrupt: h.damaged, Leader: k.check(id, h.token) == nil})
+		duties = append(duties, wire.Duty{ID: id.String(), Holder: h.Node, Token: h.token, Corrupt: h.corrupt, Leader: k.check(id, h.token) == nil})
 	}
-	slices.SortFunc(report.Duties, func(a, b wire.Duty) int { return strings.Compare(a.ID, b.ID) })
-	for _, open := range k.opts.Ledger.condemnations() {
-		report.Returns = append(report.Returns, wire.ReturnIntent{Key: open.key, Token: open.Token, Reason: open.Why, Machines: open.Machines})
+	slices.SortFunc(duties, func(a, b wire.Duty) int { return strings.Compare(a.ID, b.ID) })
+	return duties
+}
+
+// reportReturns lists the open intents to return, by key.
+func (l *Ledger) reportReturns() []wire.ReturnIntent {
+	intents := []wire.ReturnIntent{}
+	for _, open := range l.openReturns() {
+		intents = append(intents, wire.ReturnIntent{Key: open.key, Token: open.Token, Reason: open.Reason, Machines: open.Machines})
 	}
-	for _, open := range k.opts.Ledger.rentals() {
+	return intents
+}
+
+// reportRentals lists the open intents to rent, the oldest first.
+func (l *Ledger) reportRentals() []wire.RentalIntent {
+	intents := []wire.RentalIntent{}
+	for _, open := range l.openRentals() {
 		intent := wire.RentalIntent{Key: open.key, Token: open.token}
-		for _, r := range open.Requests {
-			intent.Requests = append(intent.Requests, r.Request)
+		for _, request := range open.Requests {
+			intent.Requests = append(intent.Requests, request.Request)
 		}
-		report.Rentals = append(report.Rentals, intent)
-	}
-	for _, e := range k.opts.History.Events() {
-		report.Events = append(report.Events, wire.DutyEvent{At: e.At, Kind: string(e.Kind), Duty: e.Duty, Node: e.Node, Token: e.Token, Count: e.Count, TookS: e.Took.Seconds()})
+		intents = append(intents, intent)
 	}
-	for _, kind := range Kinds() {
-		report.Counts[string(kind)] = k.opts.History.Count(kind)
-	}
-	return report
+	return intents
 }
 
-// Held counts the duties that this controller may act for.
-func (k *Keeper) Held() (held int) {
+// Held counts the duties that this controller may act for now.
+func (k *Keeper) Held() int {
+	held := 0
 	for id, h := range k.opts.Ledger.allHolders() {
 		if k.check(id, h.token) == nil {
 			held++
@@ -43,8 +63,3 @@
 	}
 	return held
 }
-
-// OpenIntents counts the intents that are not closed, of all controllers.
-func (l *Ledger) OpenIntents() (condemnations, rentals int) {
-	return len(l.condemnations()), len(l.rentals())
-}
--- /dev/null
+++ b/internal/duty/returns.go
@@ -0,0 +1,195 @@
+package duty
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"heronwick/internal/state"
+	"heronwick/wire"
+)
+
+// returnRecordOverhead is more bytes than an intent to return takes besides its machines.
+const returnRecordOverhead = 256
+
+// nameSyntax is how many bytes a machine's name takes in a record besides itself.
+const nameSyntax = len(`"",`)
+
+// MaxCondemned returns how many of the machines fit one intent to return.
+func (a *Actions) MaxCondemned(machines []string) int {
+	return state.NamesThatFit(machines, returnRecordOverhead, nameSyntax, a.opts.ValueBytes)
+}
+
+// Condemned tells whether an open intent of any controller returns a machine: no
+// controller may place on it. It also holds while duties are off.
+func (a *Actions) Condemned(machine string) bool { return a.opts.Ledger.Condemned(machine) }
+
+// Abandoned returns, sorted, the machines of open intents to return that only the leader
+// completes: those of nodes that are no longer members, and of earlier holders of a duty
+// for the fleet.
+func (a *Actions) Abandoned() []string {
+	return a.opts.Ledger.Abandoned(a.opts.Membership().current)
+}
+
+// Condemnation is the right to return machines: an intent is recorded, or duties are off.
+// The zero Condemnation permits nothing.
+type Condemnation struct {
+	id       ID
+	token    uint64 // 0: another intent covers the machines, or duties are off
+	machines []string
+	unfenced bool // duties are off
+}
+
+// Condemn records the intent to return machines that no open intent covers, and returns
+// the right to return all of them. From then on no controller places on them, so
+// returning them is safe at any later time. fence binds the record to the caller's view
+// of who owns the machines; reason is for operators.
+func (a *Actions) Condemn(ctx context.Context, id ID, fence state.FencingCondition, machines []string, reason string) (Condemnation, error) {
+	uncovered := slices.DeleteFunc(slices.Clone(machines), a.Condemned)
+	if len(uncovered) == 0 {
+		return Condemnation{id: id, machines: machines}, nil // also while no controller can hold the duty
+	}
+	guard, err := a.Guard(id)
+	if err != nil {
+		return Condemnation{}, err
+	}
+	if guard.unfenced {
+		return Condemnation{id: id, machines: machines, unfenced: true}, nil
+	}
+	began := time.Now()
+	record := returnRecord{Duty: id.String(), Token: guard.token, Reason: reason, Machines: uncovered}
+	if err := a.recordIntent(ctx, guard, fence, state.Urgent, a.newIntentKey(returnPrefix), record); err != nil {
+		return Condemnation{}, fmt.Errorf("recording the return of %d machines: %w", len(uncovered), err)
+	}
+	a.recordEvent(EventReturnRecorded, id, wire.DutyEvent{Token: guard.token, Count: len(uncovered), TookS: time.Since(began).Seconds()})
+	return Condemnation{id: id, token: guard.token, machines: machines}, nil
+}
+
+// GiveBack returns machines whose return is recorded. It may be called at any time, also
+// after the duty was lost, and after another controller has returned the machines and
+// closed the intent.
+func (a *Actions) GiveBack(ctx context.Context, c Condemnation) error {
+	if len(c.machines) == 0 {
+		return fmt.Errorf("%w: returning machines", ErrNoIntent)
+	}
+	began := time.Now()
+	if err := a.sendReturn(ctx, c); err != nil {
+		return err
+	}
+	if !c.unfenced {
+		a.recordEvent(EventReturned, c.id, wire.DutyEvent{Token: c.token, Count: len(c.machines), TookS: time.Since(began).Seconds()})
+	}
+	a.addReturned(c.machines)
+	return nil
+}
+
+// GiveBackUnrecorded returns machines without an intent. It is for cancelled tasks that
+// must be gone by a time while the store cannot be reached: no other controller can come
+// to own such a machine meanwhile, and the request can harm it only if it is carried out
+// after that.
+func (a *Actions) GiveBackUnrecorded(ctx context.Context, id ID, machines []string) error {
+	a.opts.Log.Warn("returning machines without an intent: a cancelled task must be gone", "duty", id, "machines", machines)
+	a.recordEvent(EventUnrecorded, id, wire.DutyEvent{Count: len(machines)})
+	if err := a.opts.Provider.Return(ctx, machines); err != nil {
+		return err
+	}
+	a.addReturned(machines)
+	return nil
+}
+
+func (a *Actions) sendReturn(ctx context.Context, c Condemnation) error {
+	if p, ok := a.opts.Provider.(FencingProvider); ok && c.token != 0 {
+		return p.ReturnFenced(ctx, c.token, c.machines)
+	}
+	return a.opts.Provider.Return(ctx, c.machines)
+}
+
+func (a *Actions) addReturned(machines []string) {
+	if !a.Active() {
+		return
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for _, machine := range machines {
+		a.returned[machine] = time.Now()
+	}
+}
+
+// maxClosed bounds how many intents one call of CloseReturns removes.
+const maxClosed = 4
+
+// CloseReturns removes intents whose machines were all returned by this controller. An
+// intent stays until settled reports that no controller can still take one of its
+// machines for one that is there. id is the cleanup duty under which they are removed.
+// A concurrent call does nothing.
+func (a *Actions) CloseReturns(ctx context.Context, id ID, settled func(machine string) bool) {
+	if !a.beginClosing() {
+		return
+	}
+	defer a.endClosing()
+	guard, err := a.Guard(id)
+	if err != nil {
+		return
+	}
+	a.forgetUncovered()
+	pending := func(machine string) bool { return !a.isReturned(machine) || !settled(machine) }
+	closed := 0
+	for _, open := range a.opts.Ledger.openReturns() {
+		if closed == maxClosed {
+			return
+		}
+		if slices.ContainsFunc(open.Machines, pending) {
+			continue
+		}
+		closed++
+		if a.closeIntent(ctx, guard, open.key, open.version, len(open.Machines)) {
+			a.forgetReturned(open.Machines)
+		}
+	}
+}
+
+// maxIntentDelay is how much later than its machines' return an intent may be written: one
+// whose write had no response, and whose machines were returned without waiting for it.
+const maxIntentDelay = 10 * time.Minute
+
+// forgetUncovered forgets returned machines that no open intent covers: another controller
+// has closed it, or there never was one.
+func (a *Actions) forgetUncovered() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	maps.DeleteFunc(a.returned, func(machine string, at time.Time) bool {
+		return !a.opts.Ledger.Condemned(machine) && time.Since(at) > maxIntentDelay
+	})
+}
+
+func (a *Actions) beginClosing() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.closing || len(a.returned) == 0 {
+		return false
+	}
+	a.closing = true
+	return true
+}
+
+func (a *Actions) endClosing() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.closing = false
+}
+
+func (a *Actions) isReturned(machine string) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return !a.returned[machine].IsZero()
+}
+
+func (a *Actions) forgetReturned(machines []string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for _, machine := range machines {
+		delete(a.returned, machine)
+	}
+}
--- a/internal/dutyreport/page.go
+++ b/internal/dutyreport/page.go
@@ -182,7 +182,7 @@
 	if err != nil {
 		return err
 	}
-	intents, err := countPlot("Intents", events, began, span, duty.EventCondemned, duty.EventReturned, duty.EventRenting, duty.EventRented, duty.EventClosed)
+	intents, err := countPlot("Intents", events, began, span, duty.EventReturnRecorded, duty.EventReturned, duty.EventRentalRecorded, duty.EventRented, duty.EventClosed)
 	if err != nil {
 		return err
 	}
