--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -121,9 +121,7 @@
 	}
 	if a.Why == wire.ExitDone && !a.Service {
 		js.succeeded = true
-		chunk := js.done.Add(a.Index)
-		js.dirty[chunk] = true
-		js.awaiting[chunk] = append(js.awaiting[chunk], a)
+		js.done.Complete(a)
 		s.uncountLocked(a)
 		s.stopOthersLocked(a)
 		s.finishLocked(js)
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -122,10 +122,8 @@
 		}
 		lost[id] = true
 		delete(s.jobs, id)
-		for _, attempts := range js.awaiting {
-			for _, a := range attempts {
-				a.Guest = true // its new owner asks for it
-			}
+		for a := range js.done.Unwritten() {
+			a.Guest = true // its new owner asks for it
 		}
 	}
 	if len(lost) == 0 {
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"heronwick/internal/fleet"
+	"heronwick/internal/completion"
 	"heronwick/internal/job"
 	"heronwick/internal/placement"
 	"heronwick/internal/wait"
@@ -29,11 +29,8 @@
 	live  map[int]int
 	zones map[string]int
 
-	done        *job.DoneSet
-	dirty       map[int]bool             // chunks to write
-	awaiting    map[int][]*fleet.Attempt // by chunk: done, not yet in the store
-	doneBuckets map[int]*doneBucket      // by chunk, where it is written
-	finishing   bool                     // the job's end is being written
+	done      *completion.Job
+	finishing bool // the job's end is being written
 
 	failedOn  map[string]bool
 	succeeded bool
@@ -129,8 +126,7 @@
 	j := &r.Job
 	js := &jobState{
 		rec: r, size: placement.Of(j), live: map[int]int{}, zones: map[string]int{},
-		done: &job.DoneSet{}, dirty: map[int]bool{}, awaiting: map[int][]*fleet.Attempt{}, doneBuckets: map[int]*doneBucket{},
-		failedOn: map[string]bool{}, accepted: time.UnixMilli(r.AcceptedMs), within: s.objectives(j),
+		done: completion.NewJob(r), failedOn: map[string]bool{}, accepted: time.UnixMilli(r.AcceptedMs), within: s.objectives(j),
 	}
 	js.share, js.fetch = s.dominantShare(js.size), s.fetchTime(j)
 	s.takeStandingLocked(js)
@@ -182,13 +178,11 @@
 	js := s.jobs[id]
 	if js != nil {
 		s.log.Debug("job over", "job", id, "state", f.State, "after", time.Since(js.accepted))
-		for _, attempts := range js.awaiting {
-			for _, a := range attempts {
-				a.Handled = true
-			}
+		for a := range js.done.Unwritten() {
+			a.Handled = true
 		}
 	}
-	s.done.forget(id)
+	s.completions.Forget(id)
 	delete(s.jobs, id)
 	delete(s.guests, id)
 	s.endTasksLocked(id, f, goneBy)
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -73,7 +73,7 @@
 	if s.epoch.Leader == s.opts.Node {
 		for i := range r.done {
 			if node, since, ok := job.DoneBucketOwner(r.done[i].Key); !ok || s.epoch.Members[node].Since != since {
-				s.takeDoneBucketLocked(&r.done[i])
+				s.completions.TakeOver(&r.done[i], s.opts.Jobs.Active, s.completionOf)
 			}
 		}
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -13,6 +13,7 @@
 
 	"heronwick/internal/cluster"
 	"heronwick/internal/cluster/peerpb"
+	"heronwick/internal/completion"
 	"heronwick/internal/config"
 	"heronwick/internal/duty"
 	"heronwick/internal/fleet"
@@ -187,7 +188,6 @@
 	journalDue        bool            // and it waits to be written again
 	consolidating     int             // buckets that are written only to gather what several hold
 	valuesCut         int             // bytes by which values are smaller than the settings allow
-	done              *doneTable      // the keys that hold done tasks
 	moving            map[string]bool // machines whose owner is being written
 	unsynced          []*machine      // whose workers are to be shown the token
 	syncing           int             // that are being shown it
@@ -213,6 +213,9 @@
 	passes            passTimes // since the load was last logged
 	upkeep            upkeep
 	cut               bool // most workers cannot be reached
+
+	// completions are the buckets of done tasks in the store.
+	completions *completion.Table
 }
 
 // New returns a Scheduler for opts; Run starts it.
@@ -232,7 +235,7 @@
 		bucketKey: s.bucketKey, journalKey: s.journalKey, bucketLimit: s.bucketLimit,
 		owns: func(m *machine) bool { return s.machines[m.Name] == m },
 	}
-	s.done = newDoneTable(s.doneKey, s.doneBucketLimit)
+	s.completions = completion.NewTable(completionScheduler{s}, opts.Settings, s.log)
 	s.syncRate, s.probeRate = syncRate(opts.Settings.CoreShare), probeRate(opts.Settings.CoreShare)
 	for i := range opts.Types {
 		s.types[opts.Types[i].Name] = &opts.Types[i]
