--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -18,7 +18,7 @@
 			s.resolveLocked(a.Job)
 			return
 		}
-		s.describe(a, &r.Job, s.rankOf(r))
+		s.describe(a, &r.Job, s.effectivePriorityOf(r))
 		a.Guest = true
 		s.closeIfEmptyLocked(m)
 		return
@@ -27,11 +27,11 @@
 	if f := s.remote[a.Key]; f != nil {
 		s.forgetRemoteLocked(f) // it was another's, and its machine is now ours
 	}
-	s.describe(a, &js.rec.Job, js.rank)
+	s.describe(a, &js.Record.Job, js.EffectivePriority)
 	if a.Exited() {
 		return
 	}
-	if a.Index >= js.rec.Job.Tasks || js.done.Has(a.Index) || js.live[a.Index] > 0 {
+	if a.Index >= js.Record.Job.Tasks || js.Done.Has(a.Index) || js.live[a.Index] > 0 {
 		// Its result is known, or another attempt may be elsewhere: never two.
 		a.Stop = true
 	}
@@ -59,7 +59,7 @@
 	s.used[a.Team] = s.used[a.Team].Plus(a.Size)
 	if js := s.jobs[a.Job]; js != nil {
 		js.live[a.Index]++
-		js.zones[a.Zone]++
+		js.Zones[a.Zone]++
 	}
 }
 
@@ -81,10 +81,10 @@
 	if js == nil {
 		return
 	}
-	js.zones[a.Zone]--
+	js.Zones[a.Zone]--
 	if js.live[a.Index]--; js.live[a.Index] <= 0 {
 		delete(js.live, a.Index)
-		if !js.done.Has(a.Index) && a.Index < js.next {
+		if !js.Done.Has(a.Index) && a.Index < js.next {
 			js.retry = append(js.retry, a.Index)
 		}
 	}
@@ -100,7 +100,7 @@
 	if a.Why == wire.ExitDone {
 		clear(m.failedJobs)
 		if js := s.jobOf(a.Job); js != nil {
-			js.succeeded = true
+			js.Succeeded = true
 		}
 	}
 	if a.Why == wire.ExitNoCapacity || a.Why == wire.ExitBusy {
@@ -120,8 +120,8 @@
 		return
 	}
 	if a.Why == wire.ExitDone && !a.Service {
-		js.succeeded = true
-		js.done.Complete(a)
+		js.Succeeded = true
+		js.Done.Complete(a)
 		s.uncountLocked(a)
 		s.stopOthersLocked(a)
 		s.finishLocked(js)
@@ -132,7 +132,7 @@
 	case wire.ExitStopped, wire.ExitDone, wire.ExitError, wire.ExitPeerLost, wire.ExitGangIncomplete:
 	default:
 		s.log.Info("start refused", "task", a.Task, "attempt", a.Attempt, "why", a.Why)
-		js.notBefore = now.Add(500 * time.Millisecond)
+		js.NotBefore = now.Add(500 * time.Millisecond)
 	}
 	s.uncountLocked(a)
 }
@@ -161,14 +161,14 @@
 	if js == nil {
 		return
 	}
-	js.failedOn[m.Name] = true
+	js.FailedOn[m.Name] = true
 	m.failedJobs[a.Job] = true
-	if n := len(js.failedOn); n >= 2 && !js.succeeded {
-		js.notBefore = now.Add(min(30*time.Second, time.Second<<min(n-2, 5)))
+	if n := len(js.FailedOn); n >= 2 && !js.Succeeded {
+		js.NotBefore = now.Add(min(30*time.Second, time.Second<<min(n-2, 5)))
 	}
 	evidence := 0
 	for id := range m.failedJobs {
-		if other := s.jobOf(id); other != nil && !other.mistaken() {
+		if other := s.jobOf(id); other != nil && !other.FailsEverywhere() {
 			evidence++
 		}
 	}
@@ -178,5 +178,5 @@
 	}
 }
 
-// mistaken tells whether the job seems to fail everywhere.
-func (js *jobState) mistaken() bool { return len(js.failedOn) >= 2 && !js.succeeded }
+// FailsEverywhere tells whether the job seems to fail everywhere.
+func (js *jobState) FailsEverywhere() bool { return len(js.FailedOn) >= 2 && !js.Succeeded }
--- a/internal/scheduler/bucketwrite.go
+++ b/internal/scheduler/bucketwrite.go
@@ -52,7 +52,7 @@
 		return false
 	}
 	pw.jobs[a.Job] = true
-	pw.write.If = append(pw.write.If, js.rec.Condition())
+	pw.write.If = append(pw.write.If, js.Record.Condition())
 	return true
 }
 
@@ -359,7 +359,7 @@
 		s.closeIfEmptyLocked(m)
 	}
 	if js := s.jobOf(id); js != nil {
-		js.notBefore = time.Now().Add(time.Second)
+		js.NotBefore = time.Now().Add(time.Second)
 	}
 	s.resolveLocked(id)
 }
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -6,19 +6,19 @@
 	"heronwick/internal/job"
 )
 
-// takeStandingLocked takes what the job's place in its chain says of it: whether
+// takeReadinessLocked takes what the job's place in its chain says of it: whether
 // its tasks may start, since when its times count, and how urgent it is.
-func (s *Scheduler) takeStandingLocked(js *jobState) {
-	standing := s.opts.Jobs.Readiness(js.rec)
-	js.ready, js.rank, js.due = standing.Ready, standing.Rank, standing.Due
-	js.begin = js.accepted
-	if standing.ReadyAt.After(js.begin) {
-		js.begin = standing.ReadyAt
+func (s *Scheduler) takeReadinessLocked(js *jobState) {
+	standing := s.opts.Jobs.Readiness(js.Record)
+	js.Ready, js.EffectivePriority, js.Deadline = standing.Ready, standing.Rank, standing.Due
+	js.EligibleAt = js.AcceptedAt
+	if standing.ReadyAt.After(js.EligibleAt) {
+		js.EligibleAt = standing.ReadyAt
 	}
 }
 
-// rankOf is the priority under which a job's tasks run.
-func (s *Scheduler) rankOf(r *job.Record) int { return s.opts.Jobs.Readiness(r).Rank }
+// effectivePriorityOf is the priority under which a job's tasks run.
+func (s *Scheduler) effectivePriorityOf(r *job.Record) int { return s.opts.Jobs.Readiness(r).Rank }
 
 // ReadinessChanged implements job.Listener.
 func (s *Scheduler) ReadinessChanged(ids []string) {
@@ -30,19 +30,19 @@
 		if js == nil {
 			continue
 		}
-		before := js.rank
-		s.takeStandingLocked(js)
-		s.log.Debug("standing changed", "job", id, "ready", js.ready, "rank", js.rank, "due", js.due)
-		if js.rank != before {
-			ranks[id] = js.rank
+		before := js.EffectivePriority
+		s.takeReadinessLocked(js)
+		s.log.Debug("standing changed", "job", id, "ready", js.Ready, "rank", js.EffectivePriority, "due", js.Deadline)
+		if js.EffectivePriority != before {
+			ranks[id] = js.EffectivePriority
 		}
 	}
-	s.rerankLocked(ranks)
+	s.reprioritizeLocked(ranks)
 	s.poke()
 }
 
-// rerankLocked gives the tasks of jobs that are on machines another priority.
-func (s *Scheduler) rerankLocked(ranks map[string]int) {
+// reprioritizeLocked gives the tasks of jobs that are on machines another priority.
+func (s *Scheduler) reprioritizeLocked(ranks map[string]int) {
 	if len(ranks) == 0 {
 		return
 	}
@@ -55,11 +55,11 @@
 	}
 }
 
-// deadlineFor is how long the job had from its acceptance to be done, zero if it
+// timeToDeadline is how long the job had from its acceptance to be done, zero if it
 // is due at no time.
-func (js *jobState) deadlineFor() time.Duration {
-	if js.due.IsZero() {
+func (js *jobState) timeToDeadline() time.Duration {
+	if js.Deadline.IsZero() {
 		return 0
 	}
-	return max(0, js.due.Sub(js.accepted))
+	return max(0, js.Deadline.Sub(js.AcceptedAt))
 }
--- a/internal/scheduler/done.go
+++ b/internal/scheduler/done.go
@@ -64,7 +64,7 @@
 // nil if the job is none.
 func (s *Scheduler) completionOf(id string) *completion.Job {
 	if js := s.jobs[id]; js != nil {
-		return js.done
+		return js.Done
 	}
 	return nil
 }
@@ -80,7 +80,7 @@
 func (s *Scheduler) unfinishedLocked() iter.Seq[*completion.Job] {
 	return func(yield func(*completion.Job) bool) {
 		for _, js := range s.jobs {
-			if !js.finishing && !yield(js.done) {
+			if !js.Finishing && !yield(js.Done) {
 				return
 			}
 		}
@@ -89,10 +89,10 @@
 
 // finishLocked writes a job's end once all its tasks are done.
 func (s *Scheduler) finishLocked(js *jobState) {
-	if js.finishing || js.service() || js.done.Count < js.rec.Job.Tasks {
+	if js.Finishing || js.IsService() || js.Done.Count < js.Record.Job.Tasks {
 		return
 	}
-	js.finishing = true
+	js.Finishing = true
 	since := time.Now()
 	s.goDo(func(ctx context.Context) {
 		for s.finish(ctx, js, since) {
@@ -104,16 +104,16 @@
 // the end keeps its place among those that wait to be written.
 func (s *Scheduler) finish(ctx context.Context, js *jobState, since time.Time) bool {
 	s.mu.Lock()
-	id, fence := js.rec.Job.ID, s.fenceLocked()
+	id, fence := js.Record.Job.ID, s.fenceLocked()
 	fence.Since = since
 	mine := s.jobs[id] == js && ctx.Err() == nil
 	s.mu.Unlock()
 	if !mine {
 		return false
 	}
-	err := s.opts.Jobs.Finish(ctx, js.rec, fence)
+	err := s.opts.Jobs.Finish(ctx, js.Record, fence)
 	var conflict *state.Conflict
-	if errors.As(err, &conflict) && conflict.Includes(js.rec.Condition().Key) {
+	if errors.As(err, &conflict) && conflict.Includes(js.Record.Condition().Key) {
 		s.log.Debug("writing the end of a job failed", "job", id, "err", err)
 		s.mu.Lock()
 		s.resolveLocked(id)
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -117,12 +117,12 @@
 func (s *Scheduler) disownLocked(epoch *cluster.Epoch) {
 	lost := map[string]bool{}
 	for id, js := range s.jobs {
-		if epoch.OwnerOf(js.rec.Job.Team, id) == s.opts.Node {
+		if epoch.OwnerOf(js.Record.Job.Team, id) == s.opts.Node {
 			continue
 		}
 		lost[id] = true
 		delete(s.jobs, id)
-		for a := range js.done.Unwritten() {
+		for a := range js.Done.Unwritten() {
 			a.Guest = true // its new owner asks for it
 		}
 	}
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -140,7 +140,7 @@
 		}
 	}
 	for _, js := range s.jobs {
-		if js.rec.Job.Kind == wire.KindGang && !js.waiting.IsZero() {
+		if js.Record.Job.Kind == wire.KindGang && !js.UnplacedSince.IsZero() {
 			return // it gathers machines
 		}
 	}
--- a/internal/scheduler/hosting.go
+++ b/internal/scheduler/hosting.go
@@ -80,16 +80,16 @@
 	if r == nil || s.epoch.OwnerOf(r.Job.Team, r.Job.ID) != from {
 		return
 	}
-	g := s.guests[w.Job]
+	g := s.hosted[w.Job]
 	if g == nil {
 		g = s.newJob(r)
-		g.guest = true
-		s.guests[w.Job] = g
+		g.Hosted = true
+		s.hosted[w.Job] = g
 	}
-	g.guestGuaranteed, g.asked = w.Guaranteed, 0
-	g.zones = map[string]int{}
+	g.OwnerGuaranteed, g.OwnerUnplaced = w.Guaranteed, 0
+	g.Zones = map[string]int{}
 	for zone, n := range w.Zones {
-		g.zones[zone] = int(n)
+		g.Zones[zone] = int(n)
 	}
 	left := len(w.Attempts)
 	for _, at := range w.Attempts {
@@ -123,18 +123,18 @@
 			break
 		}
 		a := &fleet.Attempt{Key: key, Job: w.Job, Index: index, Guest: true, Epoch: s.epoch.Token}
-		s.describe(a, &r.Job, g.rank)
+		s.describe(a, &r.Job, g.EffectivePriority)
 		m.Add(a, now)
 		m.looked = 0
 		m.dirty = true
 		m.useReservation(w.Job)
-		g.zones[m.Zone]++
+		g.Zones[m.Zone]++
 		left--
 		reply.Taken = append(reply.Taken, &peerpb.Hosted{Attempt: at, Zone: m.Zone, Known: true})
 		s.log.Debug("placed", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "image_held", m.HasImage(a.Image), "for", from)
 	}
 	if left > 0 && !w.Held {
-		g.asked, g.askedAt = int(w.Pending)-(len(w.Attempts)-left), now
+		g.OwnerUnplaced, g.OwnerAskedAt = int(w.Pending)-(len(w.Attempts)-left), now
 	}
 }
 
@@ -142,7 +142,7 @@
 // idle ones as the job's pending tasks need, but leaves as many as it gives:
 // the next to ask may need them as much. It returns how many it gave.
 func (s *Scheduler) handOverForLocked(js *jobState, first *machine, node string, pending int, now time.Time) int {
-	fit := max(1, int(1/max(js.share, 1e-3)))
+	fit := max(1, int(1/max(js.DominantShare, 1e-3)))
 	want := (pending + fit - 1) / fit
 	giving := []*machine{first}
 	var idle []*machine
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -13,43 +13,43 @@
 
 // jobState is a job of the share.
 type jobState struct {
-	rec  *job.Record
-	size placement.Resources
+	Record *job.Record
+	Size   placement.Resources
 
-	share    float64 // the largest part of a machine that a task takes
-	accepted time.Time
-	ready    bool            // all jobs that it needs are done
-	begin    time.Time       // from when its times but the deadline count: when it was accepted, or became ready
-	within   []time.Duration // objectives, from begin on
-	rank     int             // of its priority, or of a job that needs it; 0 is the highest
-	due      time.Time       // by when it must be done, for itself or for a job that needs it; zero: at no time
+	DominantShare     float64 // the largest part of a machine that a task takes
+	AcceptedAt        time.Time
+	Ready             bool            // all jobs that it needs are done
+	EligibleAt        time.Time       // from when its times but the deadline count: when it was accepted, or became ready
+	Objectives        []time.Duration // objectives, from begin on
+	EffectivePriority int             // of its priority, or of a job that needs it; 0 is the highest
+	Deadline          time.Time       // by when it must be done, for itself or for a job that needs it; zero: at no time
 
 	next  int   // tasks from here on were never queued for another try
 	retry []int // tasks to place again
 	live  map[int]int
-	zones map[string]int
+	Zones map[string]int
 
-	done      *completion.Job
-	finishing bool // the job's end is being written
+	Done      *completion.Job
+	Finishing bool // the job's end is being written
 
-	failedOn  map[string]bool
-	succeeded bool
-	notBefore time.Time
-	waiting   time.Time     // since when a task has found no room; zero: none waits
-	fetch     time.Duration // about how long its image takes to fetch
-	passedUp  time.Time     // since when it leaves room where its image is not to others; zero: it does not
-	wantsHeld time.Time     // since when room beside its image is looked for elsewhere
-	preempted time.Time     // when tasks were last stopped for this job
-	tried     [2]time.Time  // when none was found to stop, anywhere or beside its image
-	told      job.Progress
-	toldAt    time.Time // when that last changed
+	FailedOn          map[string]bool
+	Succeeded         bool
+	NotBefore         time.Time
+	UnplacedSince     time.Time     // since when a task has found no room; zero: none waits
+	ImageFetchTime    time.Duration // about how long its image takes to fetch
+	DeferredSince     time.Time     // since when it leaves room where its image is not to others; zero: it does not
+	ImageWaitSince    time.Time     // since when room beside its image is looked for elsewhere
+	PreemptedAt       time.Time     // when tasks were last stopped for this job
+	NoVictimAt        [2]time.Time  // when none was found to stop, anywhere or beside its image
+	ReportedProgress  job.Progress
+	ProgressChangedAt time.Time // when that last changed
 
-	asking          int // tasks that another share is being asked to take
-	guest           bool
-	guestGuaranteed bool // a guest: its owner says that it is within its team's guarantee
+	Requested       int // tasks that another share is being asked to take
+	Hosted          bool
+	OwnerGuaranteed bool // a guest: its owner says that it is within its team's guarantee
 
-	asked   int       // a guest: how many of its tasks its owner has no room for
-	askedAt time.Time // and when it last said so
+	OwnerUnplaced int       // a guest: how many of its tasks its owner has no room for
+	OwnerAskedAt  time.Time // and when it last said so
 }
 
 // resolveLocked looks up a job that is not among the active ones, since tasks
@@ -85,7 +85,7 @@
 	if js := s.jobs[id]; js != nil {
 		return js
 	}
-	return s.guests[id]
+	return s.hosted[id]
 }
 
 // JobAdded implements job.Listener.
@@ -118,18 +118,18 @@
 	js := s.newJob(r)
 	s.jobs[j.ID] = js
 	s.log.Debug("job queued", "job", j.ID, "class", j.Class, "team", j.Team, "tasks", j.Tasks, "cpus", j.CPUs, "image", j.Image, "estimate_s", j.EstimateS,
-		"needs", j.Dependencies, "ready", js.ready, "rank", js.rank)
+		"needs", j.Dependencies, "ready", js.Ready, "rank", js.EffectivePriority)
 	return js
 }
 
 func (s *Scheduler) newJob(r *job.Record) *jobState {
 	j := &r.Job
 	js := &jobState{
-		rec: r, size: placement.Of(j), live: map[int]int{}, zones: map[string]int{},
-		done: completion.NewJob(r), failedOn: map[string]bool{}, accepted: time.UnixMilli(r.AcceptedMs), within: s.objectives(j),
+		Record: r, Size: placement.Of(j), live: map[int]int{}, Zones: map[string]int{},
+		Done: completion.NewJob(r), FailedOn: map[string]bool{}, AcceptedAt: time.UnixMilli(r.AcceptedMs), Objectives: s.objectives(j),
 	}
-	js.share, js.fetch = s.dominantShare(js.size), s.fetchTime(j)
-	s.takeStandingLocked(js)
+	js.DominantShare, js.ImageFetchTime = s.dominantShare(js.Size), s.fetchTime(j)
+	s.takeReadinessLocked(js)
 	return js
 }
 
@@ -177,14 +177,14 @@
 func (s *Scheduler) endLocked(id string, f job.Outcome, goneBy time.Time) {
 	js := s.jobs[id]
 	if js != nil {
-		s.log.Debug("job over", "job", id, "state", f.State, "after", time.Since(js.accepted))
-		for a := range js.done.Unwritten() {
+		s.log.Debug("job over", "job", id, "state", f.State, "after", time.Since(js.AcceptedAt))
+		for a := range js.Done.Unwritten() {
 			a.Handled = true
 		}
 	}
 	s.completions.Forget(id)
 	delete(s.jobs, id)
-	delete(s.guests, id)
+	delete(s.hosted, id)
 	s.endTasksLocked(id, f, goneBy)
 }
 
@@ -264,11 +264,11 @@
 	}
 	all := now.Sub(s.toldAll) < progressFor
 	for id, js := range s.jobs {
-		p := job.Progress{Done: js.done.Count, Running: running[id]}
-		if p != js.told {
-			js.told, js.toldAt = p, now
+		p := job.Progress{Done: js.Done.Count, Running: running[id]}
+		if p != js.ReportedProgress {
+			js.ReportedProgress, js.ProgressChangedAt = p, now
 		}
-		if all || now.Sub(js.toldAt) < progressFor {
+		if all || now.Sub(js.ProgressChangedAt) < progressFor {
 			changed[id] = p
 		}
 	}
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -13,7 +13,7 @@
 // needed, or none: then its bookings are freed. While some tasks of an earlier
 // try may still run, the others wait: without peers they end by themselves.
 func (s *Scheduler) placeGangLocked(js *jobState, now time.Time) {
-	if len(js.live) > 0 || !s.withinLimitBy(js, js.pending()) {
+	if len(js.live) > 0 || !s.withinLimitBy(js, js.Pending()) {
 		return
 	}
 	type booking struct {
@@ -23,9 +23,9 @@
 	}
 	var booked []booking
 	for {
-		index, ok := js.nextTask()
+		index, ok := js.NextTask()
 		if !ok {
-			js.waiting = time.Time{}
+			js.UnplacedSince = time.Time{}
 			return
 		}
 		m, _ := s.findHeldLocked(js, now, false)
@@ -35,7 +35,7 @@
 		if m == nil {
 			break
 		}
-		js.took()
+		js.Dequeue()
 		dirty := m.dirty
 		a := s.placeLocked(js, index, m, now)
 		if len(booked) > 0 {
@@ -59,8 +59,8 @@
 		s.releaseLocked(b.a)
 		s.closeIfEmptyLocked(b.m)
 	}
-	if js.waiting.IsZero() {
-		js.waiting = now
+	if js.UnplacedSince.IsZero() {
+		js.UnplacedSince = now
 	}
 }
 
@@ -69,20 +69,20 @@
 // enough.
 func (s *Scheduler) placeJobLocked(js *jobState, now time.Time, held bool) {
 	for {
-		index, ok := js.nextTask()
+		index, ok := js.NextTask()
 		if !ok {
-			if js.asking == 0 {
-				js.waiting = time.Time{}
+			if js.Requested == 0 {
+				js.UnplacedSince = time.Time{}
 			}
 			return
 		}
 		if !s.withinLimit(js) {
-			js.waiting = time.Time{} // more machines would not help
+			js.UnplacedSince = time.Time{} // more machines would not help
 			return
 		}
 		var m *machine
 		sh, plain := js.placementClass()
-		if full := plain && s.cycle.full[sh] || s.lacksRoomLocked(js.size, now); !full || js.service() {
+		if full := plain && s.cycle.full[sh] || s.lacksRoomLocked(js.Size, now); !full || js.IsService() {
 			var wait bool
 			m, wait = s.findHeldLocked(js, now, s.guaranteed(js))
 			if wait || m == nil && s.awaitHeldLocked(js, now) {
@@ -90,7 +90,7 @@
 			}
 			switch {
 			case m != nil:
-				js.passedUp = time.Time{}
+				js.DeferredSince = time.Time{}
 			case full:
 			case held && s.hasRoomLocked(js, now) && s.passesUpLocked(js, now):
 				return
@@ -102,13 +102,13 @@
 			if plain {
 				s.cycle.full[sh] = true
 			}
-			if js.waiting.IsZero() {
-				js.waiting = now
+			if js.UnplacedSince.IsZero() {
+				js.UnplacedSince = now
 			}
 			s.preemptLocked(js, now, false, s.guaranteed(js))
 			return
 		}
-		js.took()
+		js.Dequeue()
 		s.placeLocked(js, index, m, now)
 	}
 }
@@ -123,12 +123,12 @@
 // made on one of those before another machine fetches the image; wait tells
 // that this is under way.
 func (s *Scheduler) findHeldLocked(js *jobState, now time.Time, guaranteed bool) (m *machine, wait bool) {
-	if s.lacksRoomLocked(js.size, now) {
-		return nil, js.service() && s.preemptLocked(js, now, true, guaranteed)
+	if s.lacksRoomLocked(js.Size, now) {
+		return nil, js.IsService() && s.preemptLocked(js, now, true, guaranteed)
 	}
 	fits := s.fits(js, now)
-	holds := func(m *machine) bool { return fits(m) && m.HasImage(js.rec.Job.Image) }
-	service := js.rec.Job.Kind == wire.KindService
+	holds := func(m *machine) bool { return fits(m) && m.HasImage(js.Record.Job.Image) }
+	service := js.Record.Job.Kind == wire.KindService
 	first := holds
 	if service {
 		first = func(m *machine) bool { return holds(m) && s.belowHalfLocked(js, m) }
@@ -136,7 +136,7 @@
 	if m, ok := s.list.Walk(first); ok {
 		return m, false
 	}
-	if idle := s.idleLocked(js, now); idle != nil && idle.HasImage(js.rec.Job.Image) {
+	if idle := s.idleLocked(js, now); idle != nil && idle.HasImage(js.Record.Job.Image) {
 		s.list.MoveToFront(idle)
 		return idle, false
 	}
@@ -153,12 +153,12 @@
 // are all lost with it, and their images are then nowhere else: as long as
 // another machine can take a replica, they fill half of one at most.
 func (s *Scheduler) findAnyLocked(js *jobState, now time.Time) *machine {
-	if s.lacksRoomLocked(js.size, now) {
+	if s.lacksRoomLocked(js.Size, now) {
 		return nil
 	}
 	fits := s.fits(js, now)
 	idle := s.idleLocked(js, now)
-	if js.rec.Job.Kind == wire.KindService {
+	if js.Record.Job.Kind == wire.KindService {
 		roomy := func(m *machine) bool { return fits(m) && s.belowHalfLocked(js, m) }
 		if m, ok := s.list.Walk(roomy); ok {
 			return m
@@ -179,7 +179,7 @@
 
 // hasRoomLocked tells whether any machine takes a task of the job.
 func (s *Scheduler) hasRoomLocked(js *jobState, now time.Time) bool {
-	if s.lacksRoomLocked(js.size, now) {
+	if s.lacksRoomLocked(js.Size, now) {
 		return false
 	}
 	if s.idleLocked(js, now) != nil {
@@ -196,14 +196,14 @@
 
 // awaitHeldLocked tells whether the other shares are still to be asked.
 func (s *Scheduler) awaitHeldLocked(js *jobState, now time.Time) bool {
-	if js.rec.Job.Kind != wire.KindService || len(s.epoch.Members) < 2 {
+	if js.Record.Job.Kind != wire.KindService || len(s.epoch.Members) < 2 {
 		return false
 	}
-	if js.wantsHeld.IsZero() {
-		js.wantsHeld = now
+	if js.ImageWaitSince.IsZero() {
+		js.ImageWaitSince = now
 		time.AfterFunc(heldPatience, s.poke)
 	}
-	return now.Sub(js.wantsHeld) < heldPatience
+	return now.Sub(js.ImageWaitSince) < heldPatience
 }
 
 // belowHalfLocked tells whether one more replica leaves services on at most
@@ -212,7 +212,7 @@
 	if m == nil || m.Type == nil {
 		return false
 	}
-	sum := js.size
+	sum := js.Size
 	for _, a := range m.Attempts.All() {
 		if a.Service && !a.Exited() {
 			sum = sum.Plus(a.Size)
@@ -237,17 +237,17 @@
 }
 
 func (s *Scheduler) fitsLocked(js *jobState, m *machine, now time.Time) bool {
-	if s.lookLocked(m, now); !m.usable || !js.size.Within(m.free) {
+	if s.lookLocked(m, now); !m.usable || !js.Size.Within(m.free) {
 		return false
 	}
-	return (len(m.reservations) == 0 || js.size.Within(s.roomLocked(m, js.rec.Job.ID, now))) && s.allowedLocked(js, m)
+	return (len(m.reservations) == 0 || js.Size.Within(s.roomLocked(m, js.Record.Job.ID, now))) && s.allowedLocked(js, m)
 }
 
 func (s *Scheduler) allowedLocked(js *jobState, m *machine) bool {
-	if !placement.Allows(&js.rec.Job, m.Place(), placement.Spread{ByZone: js.zones}) {
+	if !placement.Allows(&js.Record.Job, m.Place(), placement.Spread{ByZone: js.Zones}) {
 		return false
 	}
-	if js.failedOn[m.Name] && !js.mistaken() {
+	if js.FailedOn[m.Name] && !js.FailsEverywhere() {
 		return false
 	}
 	return m.Attempts.Len() < s.maxAttempts()
@@ -276,8 +276,8 @@
 }
 
 func (s *Scheduler) newAttempt(js *jobState, index int) *fleet.Attempt {
-	j := &js.rec.Job
+	j := &js.Record.Job
 	a := &fleet.Attempt{Key: fleet.Key{Task: wire.TaskID(j.ID, index), Attempt: s.numbers.next(s.epoch.Token)}, Job: j.ID, Index: index}
-	s.describe(a, j, js.rank)
+	s.describe(a, j, js.EffectivePriority)
 	return a
 }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -20,12 +20,12 @@
 	if !s.mayPreemptAnyLocked(js, guaranteed) {
 		return false
 	}
-	tried := &js.tried[boolInt(held)]
+	tried := &js.NoVictimAt[boolInt(held)]
 	if now.Sub(*tried) < victimsAfter {
 		return false
 	}
 	// What was stopped a moment ago has not made its room yet.
-	if now.Sub(js.preempted) < 2*time.Second && s.stoppingLocked() {
+	if now.Sub(js.PreemptedAt) < 2*time.Second && s.stoppingLocked() {
 		return true
 	}
 	type choice struct {
@@ -35,7 +35,7 @@
 	}
 	var best *choice
 	for _, m := range s.machines {
-		if held && !m.HasImage(js.rec.Job.Image) || !s.usableLocked(m, now) || !s.allowedLocked(js, m) {
+		if held && !m.HasImage(js.Record.Job.Image) || !s.usableLocked(m, now) || !s.allowedLocked(js, m) {
 			continue
 		}
 		var may []*fleet.Attempt
@@ -50,18 +50,18 @@
 		slices.SortFunc(may, func(a, b *fleet.Attempt) int { return cmp.Compare(s.lossOf(a, now), s.lossOf(b, now)) })
 		room := m.Free()
 		c := choice{m: m}
-		if !m.HasImage(js.rec.Job.Image) {
+		if !m.HasImage(js.Record.Job.Image) {
 			c.cost += 10
 		}
 		for _, a := range may {
-			if js.size.Within(room) {
+			if js.Size.Within(room) {
 				break
 			}
 			room = room.Plus(a.Size)
 			c.victims = append(c.victims, a)
 			c.cost += s.lossOf(a, now)
 		}
-		if js.size.Within(room) && len(c.victims) > 0 && (best == nil || c.cost < best.cost) {
+		if js.Size.Within(room) && len(c.victims) > 0 && (best == nil || c.cost < best.cost) {
 			best = &c
 		}
 	}
@@ -69,12 +69,12 @@
 		*tried = now
 		return false
 	}
-	js.preempted = now
-	if js.guest {
-		best.m.reservations = append(best.m.reservations, reservation{job: js.rec.Job.ID, size: js.size, until: now.Add(reservedFor)})
+	js.PreemptedAt = now
+	if js.Hosted {
+		best.m.reservations = append(best.m.reservations, reservation{job: js.Record.Job.ID, size: js.Size, until: now.Add(reservedFor)})
 	}
 	for _, a := range best.victims {
-		s.log.Info("preempting", "task", a.Task, "machine", best.m.Name, "for", js.rec.Job.ID)
+		s.log.Info("preempting", "task", a.Task, "machine", best.m.Name, "for", js.Record.Job.ID)
 		a.Stop = true
 	}
 	s.sendLocked(best.m)
@@ -104,10 +104,10 @@
 // its guarantee may stop any work that another runs above its own. What a
 // team of another share uses is not known here.
 func (s *Scheduler) mayPreempt(js *jobState, victim *fleet.Attempt, guaranteed bool) bool {
-	if js.rank < victim.Rank {
+	if js.EffectivePriority < victim.Rank {
 		return true
 	}
-	if !guaranteed || victim.Guest || victim.Team == js.rec.Job.Team {
+	if !guaranteed || victim.Guest || victim.Team == js.Record.Job.Team {
 		return false
 	}
 	t, used := s.teams[victim.Team], s.used[victim.Team]
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -9,26 +9,26 @@
 	"heronwick/wire"
 )
 
-// pending counts the job's tasks that are neither done nor possibly on a
+// Pending counts the job's tasks that are neither done nor possibly on a
 // machine.
-func (js *jobState) pending() int {
-	return js.rec.Job.Tasks - js.done.Count - len(js.live)
+func (js *jobState) Pending() int {
+	return js.Record.Job.Tasks - js.Done.Count - len(js.live)
 }
 
-// unplaced counts also those that another share is being asked to take.
-func (js *jobState) unplaced() int { return js.pending() + js.asking }
+// Unplaced counts also those that another share is being asked to take.
+func (js *jobState) Unplaced() int { return js.Pending() + js.Requested }
 
-// nextTask returns the next task to place and leaves it queued.
-func (js *jobState) nextTask() (int, bool) {
+// NextTask returns the next task to place and leaves it queued.
+func (js *jobState) NextTask() (int, bool) {
 	for len(js.retry) > 0 {
 		i := js.retry[len(js.retry)-1]
-		if js.live[i] == 0 && !js.done.Has(i) {
+		if js.live[i] == 0 && !js.Done.Has(i) {
 			return i, true
 		}
 		js.retry = js.retry[:len(js.retry)-1]
 	}
-	for js.next < js.rec.Job.Tasks {
-		if js.live[js.next] == 0 && !js.done.Has(js.next) {
+	for js.next < js.Record.Job.Tasks {
+		if js.live[js.next] == 0 && !js.Done.Has(js.next) {
 			return js.next, true
 		}
 		js.next++
@@ -36,8 +36,8 @@
 	return 0, false
 }
 
-// took removes the task that nextTask returned from the queue.
-func (js *jobState) took() {
+// Dequeue removes the task that nextTask returned from the queue.
+func (js *jobState) Dequeue() {
 	if len(js.retry) > 0 {
 		js.retry = js.retry[:len(js.retry)-1]
 		return
@@ -57,12 +57,12 @@
 // which in an overload that stays would never be.
 const latestBegin = 4 * time.Minute
 
-// served counts the job's tasks that are done or may be on a machine.
-func (js *jobState) served() int {
-	if js.guest {
-		return js.rec.Job.Tasks - js.asked
+// Served counts the job's tasks that are done or may be on a machine.
+func (js *jobState) Served() int {
+	if js.Hosted {
+		return js.Record.Job.Tasks - js.OwnerUnplaced
 	}
-	return js.rec.Job.Tasks - js.pending()
+	return js.Record.Job.Tasks - js.Pending()
 }
 
 // The urgency of a job among those of its priority, the most urgent first. When
@@ -78,22 +78,22 @@
 
 // urgency orders jobs of one priority.
 func (js *jobState) urgency(now time.Time) int {
-	waited := now.Sub(js.begin)
-	switch served := js.served(); {
+	waited := now.Sub(js.EligibleAt)
+	switch served := js.Served(); {
 	case served == 0 && waited > latestBegin/2:
 		return notBegun
-	case 2*served < js.rec.Job.Tasks && waited > latestBegin*3/4:
+	case 2*served < js.Record.Job.Tasks && waited > latestBegin*3/4:
 		return notHalf
 	}
-	estimate := time.Duration(js.rec.Job.EstimateS * float64(time.Second))
+	estimate := time.Duration(js.Record.Job.EstimateS * float64(time.Second))
 	soonest := now.Add(estimate / 2) // estimates are often wrong by half
-	if soonest.Before(js.due) {
+	if soonest.Before(js.Deadline) {
 		return canBeInTime
 	}
-	longest := js.deadlineFor()
-	for _, within := range js.within {
+	longest := js.timeToDeadline()
+	for _, within := range js.Objectives {
 		longest = max(longest, within)
-		if soonest.Before(js.begin.Add(within)) {
+		if soonest.Before(js.EligibleAt.Add(within)) {
 			return canBeInTime
 		}
 	}
@@ -106,11 +106,11 @@
 // remaining is the work left to place. The job with the least goes first:
 // that makes the most jobs end in time.
 func (js *jobState) remaining() float64 {
-	tasks := js.pending()
-	if js.guest {
-		tasks = js.asked
+	tasks := js.Pending()
+	if js.Hosted {
+		tasks = js.OwnerUnplaced
 	}
-	return float64(tasks) * js.share * max(js.rec.Job.EstimateS, 1)
+	return float64(tasks) * js.DominantShare * max(js.Record.Job.EstimateS, 1)
 }
 
 // scheduleLocked places what can be placed: by priority, then teams within
@@ -122,13 +122,13 @@
 	}
 	var queue []*jobState
 	for _, js := range s.jobs {
-		if js.pending() <= 0 {
-			if js.asking == 0 {
-				js.waiting, js.wantsHeld = time.Time{}, time.Time{}
+		if js.Pending() <= 0 {
+			if js.Requested == 0 {
+				js.UnplacedSince, js.ImageWaitSince = time.Time{}, time.Time{}
 			}
 			continue
 		}
-		if js.ready && !now.Before(js.notBefore) {
+		if js.Ready && !now.Before(js.NotBefore) {
 			queue = append(queue, js)
 		}
 	}
@@ -136,8 +136,8 @@
 		return
 	}
 	// Guests take their turn: what they want is kept free until they ask again.
-	for _, g := range s.guests {
-		if g.asked > 0 && now.Sub(g.askedAt) < reservedFor {
+	for _, g := range s.hosted {
+		if g.OwnerUnplaced > 0 && now.Sub(g.OwnerAskedAt) < reservedFor {
 			queue = append(queue, g)
 		}
 	}
@@ -165,12 +165,12 @@
 // where its image is.
 func (s *Scheduler) serveLocked(js *jobState, now time.Time, held bool) {
 	switch {
-	case js.guest:
+	case js.Hosted:
 		s.reserveLocked(js, now, held)
-	case js.rec.Job.Kind == wire.KindArray:
+	case js.Record.Job.Kind == wire.KindArray:
 		s.placeJobLocked(js, now, held)
 	case !held:
-	case js.rec.Job.Kind == wire.KindGang:
+	case js.Record.Job.Kind == wire.KindGang:
 		s.placeGangLocked(js, now)
 	default:
 		s.placeJobLocked(js, now, false)
@@ -181,10 +181,10 @@
 // its image to others whose image it holds: for as long as the fetch would
 // take, since then waiting has cost as much, and whenever one before it does.
 func (s *Scheduler) passesUpLocked(js *jobState, now time.Time) bool {
-	if js.passedUp.IsZero() {
-		js.passedUp = now
+	if js.DeferredSince.IsZero() {
+		js.DeferredSince = now
 	}
-	if now.Sub(js.passedUp) <= js.fetch {
+	if now.Sub(js.DeferredSince) <= js.ImageFetchTime {
 		s.cycle.passedUp = true
 	}
 	return s.cycle.passedUp
@@ -211,16 +211,16 @@
 // reserveLocked keeps free room for the tasks that a guest has asked for in
 // vain: on open machines first, then on idle ones.
 func (s *Scheduler) reserveLocked(g *jobState, now time.Time, held bool) {
-	id := g.rec.Job.ID
+	id := g.Record.Job.ID
 	kept := s.reservedLocked(now)
-	wants := min(g.asked, maxAskedPerJob) - kept[id]
+	wants := min(g.OwnerUnplaced, maxAskedPerJob) - kept[id]
 	sh, plain := g.placementClass()
-	if wants <= 0 || plain && s.cycle.full[sh] || s.lacksRoomLocked(g.size, now) {
+	if wants <= 0 || plain && s.cycle.full[sh] || s.lacksRoomLocked(g.Size, now) {
 		return
 	}
 	keep := func(m *machine) {
-		for wants > 0 && (!held || m.HasImage(g.rec.Job.Image)) && s.fitsLocked(g, m, now) && g.size.Within(s.roomLocked(m, "", now)) {
-			m.reservations = append(m.reservations, reservation{job: id, size: g.size, until: now.Add(reservedFor)})
+		for wants > 0 && (!held || m.HasImage(g.Record.Job.Image)) && s.fitsLocked(g, m, now) && g.Size.Within(s.roomLocked(m, "", now)) {
+			m.reservations = append(m.reservations, reservation{job: id, size: g.Size, until: now.Add(reservedFor)})
 			kept[id]++
 			wants--
 		}
@@ -279,15 +279,15 @@
 func (s *Scheduler) sortQueueLocked(queue []*jobState, now time.Time) []queueEntry {
 	turns := make([]queueEntry, len(queue))
 	for i, js := range queue {
-		turns[i] = queueEntry{js: js, rank: js.rank, guaranteed: -boolInt(s.guaranteed(js)),
+		turns[i] = queueEntry{js: js, rank: js.EffectivePriority, guaranteed: -boolInt(s.guaranteed(js)),
 			urgency: js.urgency(now), remaining: js.remaining()}
 		if turns[i].urgency <= starved {
-			turns[i].remaining = -now.Sub(js.begin).Seconds()
+			turns[i].remaining = -now.Sub(js.EligibleAt).Seconds()
 		}
 	}
 	slices.SortFunc(turns, func(a, b queueEntry) int {
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.guaranteed, b.guaranteed), cmp.Compare(a.urgency, b.urgency),
-			cmp.Compare(a.remaining, b.remaining), cmp.Compare(a.js.rec.Job.ID, b.js.rec.Job.ID))
+			cmp.Compare(a.remaining, b.remaining), cmp.Compare(a.js.Record.Job.ID, b.js.Record.Job.ID))
 	})
 	for i := range turns {
 		queue[i] = turns[i].js
@@ -305,11 +305,11 @@
 // guaranteed tells whether one more task of the job stays within its team's
 // guarantee.
 func (s *Scheduler) guaranteed(js *jobState) bool {
-	if js.guest {
-		return js.guestGuaranteed
+	if js.Hosted {
+		return js.OwnerGuaranteed
 	}
-	t := s.teams[js.rec.Job.Team]
-	after := s.used[js.rec.Job.Team].Plus(js.size)
+	t := s.teams[js.Record.Job.Team]
+	after := s.used[js.Record.Job.Team].Plus(js.Size)
 	return after.CPUs <= t.CPUs && after.GPUs <= t.GPUs
 }
 
@@ -318,7 +318,7 @@
 func (s *Scheduler) withinLimit(js *jobState) bool { return s.withinLimitBy(js, 1) }
 
 func (s *Scheduler) withinLimitBy(js *jobState, tasks int) bool {
-	t := s.teams[js.rec.Job.Team]
-	after := s.used[js.rec.Job.Team].Plus(js.size.Times(float64(tasks)))
+	t := s.teams[js.Record.Job.Team]
+	after := s.used[js.Record.Job.Team].Plus(js.Size.Times(float64(tasks)))
 	return (t.CPUsMax == 0 || after.CPUs <= t.CPUsMax) && (t.GPUsMax == 0 || after.GPUs <= t.GPUsMax)
 }
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -58,7 +58,7 @@
 		js := s.addJobLocked(record)
 		for i := range r.done {
 			for chunk, bits := range r.done[i].Jobs[id] {
-				js.done.AddBlock(chunk, bits)
+				js.Done.AddBlock(chunk, bits)
 			}
 		}
 	}
@@ -263,7 +263,7 @@
 			a.Team, a.Size, a.Sized = f.Team, sizeOf(f), true
 			s.trackRemoteLocked(a, host, fm.Zone)
 		} else if js := s.jobs[a.Job]; js != nil && gained[a.Job] {
-			s.describe(a, &js.rec.Job, js.rank)
+			s.describe(a, &js.Record.Job, js.EffectivePriority)
 			s.trackRemoteLocked(a, host, fm.Zone)
 		}
 	}
--- a/internal/scheduler/remote.go
+++ b/internal/scheduler/remote.go
@@ -82,8 +82,8 @@
 	var waiting []*jobState
 	held := false
 	for _, js := range s.jobs {
-		looks := now.Sub(js.wantsHeld) < heldPatience
-		if (looks || !js.waiting.IsZero()) && js.pending() > 0 && s.withinLimit(js) && !now.Before(js.notBefore) && !js.mistaken() {
+		looks := now.Sub(js.ImageWaitSince) < heldPatience
+		if (looks || !js.UnplacedSince.IsZero()) && js.Pending() > 0 && s.withinLimit(js) && !now.Before(js.NotBefore) && !js.FailsEverywhere() {
 			waiting = append(waiting, js)
 			held = held || looks
 		}
@@ -156,20 +156,20 @@
 // wantedLocked takes up to budget next tasks of js, maxAskedPerJob at most,
 // as new attempts that are asked of node.
 func (s *Scheduler) wantedLocked(js *jobState, node string, budget int) *peerpb.Wanted {
-	w := &peerpb.Wanted{Job: js.rec.Job.ID, Guaranteed: s.guaranteed(js), Pending: uint32(js.unplaced()), Zones: map[string]uint32{},
-		Held: js.waiting.IsZero()}
-	for zone, n := range js.zones {
+	w := &peerpb.Wanted{Job: js.Record.Job.ID, Guaranteed: s.guaranteed(js), Pending: uint32(js.Unplaced()), Zones: map[string]uint32{},
+		Held: js.UnplacedSince.IsZero()}
+	for zone, n := range js.Zones {
 		if n > 0 {
 			w.Zones[zone] = uint32(n)
 		}
 	}
 	for len(w.Attempts) < budget && len(w.Attempts) < maxAskedPerJob && s.withinLimit(js) {
-		index, ok := js.nextTask()
+		index, ok := js.NextTask()
 		if !ok {
 			break
 		}
-		js.took()
-		js.asking++
+		js.Dequeue()
+		js.Requested++
 		a := s.newAttempt(js, index)
 		s.trackRemoteLocked(a, node, "")
 		s.remote[a.Key].asked = true
@@ -208,7 +208,7 @@
 // answer: taken holds those that the peer took.
 func (s *Scheduler) takePlacedAttemptLocked(node, job string, key fleet.Key, taken map[fleet.Key]*peerpb.Hosted, err error) {
 	if js := s.jobs[job]; js != nil {
-		js.asking--
+		js.Requested--
 	}
 	f := s.remote[key]
 	if f != nil {
@@ -231,8 +231,8 @@
 		return
 	}
 	if js := s.jobs[f.Job]; js != nil {
-		js.zones[f.Zone]--
-		js.zones[zone]++
+		js.Zones[f.Zone]--
+		js.Zones[zone]++
 	}
 	f.Zone = zone
 }
--- a/internal/scheduler/rent.go
+++ b/internal/scheduler/rent.go
@@ -45,12 +45,12 @@
 	maxWants = 500
 )
 
-// wants tells how many tasks of an own job machines should be rented for.
-func (js *jobState) wants(now time.Time) int {
-	if js.waiting.IsZero() || now.Sub(js.waiting) <= wantsRoomAfter || js.mistaken() {
+// RentalDemand tells how many tasks of an own job machines should be rented for.
+func (js *jobState) RentalDemand(now time.Time) int {
+	if js.UnplacedSince.IsZero() || now.Sub(js.UnplacedSince) <= wantsRoomAfter || js.FailsEverywhere() {
 		return 0
 	}
-	return js.unplaced()
+	return js.Unplaced()
 }
 
 // wantsLocked tells the peers what finds no room here: one controller rents,
@@ -58,7 +58,7 @@
 func (s *Scheduler) wantsLocked(now time.Time) []*peerpb.Want {
 	var wants []*peerpb.Want
 	for id, js := range s.jobs {
-		if n := js.wants(now); n > 0 && len(wants) < maxWants {
+		if n := js.RentalDemand(now); n > 0 && len(wants) < maxWants {
 			wants = append(wants, &peerpb.Want{Job: id, Tasks: uint32(n)})
 		}
 	}
@@ -70,12 +70,12 @@
 func (s *Scheduler) demandLocked(now time.Time) []unmetDemand {
 	var all []unmetDemand
 	for _, js := range s.jobs {
-		if n := js.wants(now); n > 0 {
+		if n := js.RentalDemand(now); n > 0 {
 			all = append(all, unmetDemand{js, n})
 		}
 	}
 	for _, w := range s.opts.Authority.UnplacedWants() {
-		js := s.guests[w.Job]
+		js := s.hosted[w.Job]
 		if js == nil {
 			r := s.opts.Jobs.Active(w.Job)
 			if r == nil {
@@ -86,7 +86,7 @@
 		all = append(all, unmetDemand{js, int(w.Tasks)})
 	}
 	slices.SortFunc(all, func(a, b unmetDemand) int {
-		return cmp.Or(cmp.Compare(a.job.rank, b.job.rank), a.job.begin.Compare(b.job.begin))
+		return cmp.Or(cmp.Compare(a.job.EffectivePriority, b.job.EffectivePriority), a.job.EligibleAt.Compare(b.job.EligibleAt))
 	})
 	return all
 }
@@ -145,28 +145,28 @@
 // planDemandLocked fits the tasks of one job that find no room onto the
 // machines of the plan, first fit, and rents where none takes the next.
 func (s *Scheduler) planDemandLocked(plan *rentalPlan, d unmetDemand, now time.Time) {
-	j := &d.job.rec.Job
+	j := &d.job.Record.Job
 	zones := map[string]int{}
-	for z, n := range d.job.zones {
+	for z, n := range d.job.Zones {
 		zones[z] = n
 	}
 	next := 0 // what does not take a task of the job takes none of its later ones
 	for range d.tasks {
-		for next < len(plan.coming) && (!d.job.size.Within(plan.coming[next].free) || !placement.Allows(j, plan.coming[next].place, placement.Spread{ByZone: zones})) {
+		for next < len(plan.coming) && (!d.job.Size.Within(plan.coming[next].free) || !placement.Allows(j, plan.coming[next].place, placement.Spread{ByZone: zones})) {
 			next++
 		}
 		if next == len(plan.coming) {
 			if plan.rented >= maxRentals {
 				return
 			}
-			o := s.rentalOptionLocked(j, d.job.size, zones, plan.perZone, now)
+			o := s.rentalOptionLocked(j, d.job.Size, zones, plan.perZone, now)
 			if o == nil {
 				return
 			}
 			plan.rent(o)
 		}
 		v := plan.coming[next]
-		v.free = v.free.Minus(d.job.size)
+		v.free = v.free.Minus(d.job.Size)
 		zones[v.place.Zone]++
 	}
 }
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -182,7 +182,7 @@
 		case fleet.Started:
 			s.log.Debug("started", "task", a.Task, "machine", m.Name, "after", time.Since(a.Placed))
 			if js := s.jobOf(a.Job); js != nil && a.Service {
-				js.succeeded = true
+				js.Succeeded = true
 			}
 		case fleet.Exited:
 			s.exitedLocked(m, a)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -178,7 +178,7 @@
 	answeredEarly     map[string]time.Time         // reports answered before the records were read
 	unknownTasksSince map[string]time.Time         // since when machines have had tasks of unknown jobs
 	jobs              map[string]*jobState         // the scheduler's own
-	guests            map[string]*jobState         // jobs of other controllers that have, or want, tasks here
+	hosted            map[string]*jobState         // jobs of other controllers that have, or want, tasks here
 	remote            map[fleet.Key]*remoteAttempt // tasks of own jobs that may be on others' machines
 	denied            map[fleet.Key]time.Time
 	peerRequests      map[string]*peerRequestState
@@ -227,7 +227,7 @@
 		answeredEarly: map[string]time.Time{}, unknownTasksSince: map[string]time.Time{}, jobs: map[string]*jobState{}, machines: map[string]*machine{},
 		used:   map[string]placement.Resources{},
 		supply: newSupply(), resolve: map[string]bool{},
-		guests: map[string]*jobState{}, remote: map[fleet.Key]*remoteAttempt{}, denied: map[fleet.Key]time.Time{},
+		hosted: map[string]*jobState{}, remote: map[fleet.Key]*remoteAttempt{}, denied: map[fleet.Key]time.Time{},
 		peerRequests: map[string]*peerRequestState{}, moving: map[string]bool{},
 	}
 	s.records = &recordTable{
--- a/internal/scheduler/schedulingpass.go
+++ b/internal/scheduler/schedulingpass.go
@@ -40,11 +40,11 @@
 // placementClass returns a job's shape; ok is false for one whose tasks are bound to
 // more than that.
 func (js *jobState) placementClass() (sh placementClass, ok bool) {
-	j := &js.rec.Job
-	if j.Spread || j.OneZone || len(js.failedOn) > 0 {
+	j := &js.Record.Job
+	if j.Spread || j.OneZone || len(js.FailedOn) > 0 {
 		return placementClass{}, false
 	}
-	sh = placementClass{size: js.size, spot: j.Spot}
+	sh = placementClass{size: js.Size, spot: j.Spot}
 	if j.Zone != nil {
 		sh.zone = *j.Zone
 	}
@@ -129,7 +129,7 @@
 		if s.list.Has(m) || s.machines[m.Name] != m || !s.fitsLocked(js, m, now) {
 			continue
 		}
-		if m.HasImage(js.rec.Job.Image) {
+		if m.HasImage(js.Record.Job.Image) {
 			return m
 		}
 		if first == nil {
@@ -155,8 +155,8 @@
 			p.above = p.above || (t.CPUs > 0 || t.CPUsMax > 0) && s.used[name].CPUs > t.CPUs
 		}
 	}
-	return js.rank < s.cycle.lowest || guaranteed && s.cycle.above
+	return js.EffectivePriority < s.cycle.lowest || guaranteed && s.cycle.above
 }
 
-// service tells whether the job's tasks run until it is cancelled.
-func (js *jobState) service() bool { return js.rec.Job.Kind == wire.KindService }
+// IsService tells whether the job's tasks run until it is cancelled.
+func (js *jobState) IsService() bool { return js.Record.Job.Kind == wire.KindService }
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -21,8 +21,8 @@
 	}
 	_, total, free := s.statusLocked(now)
 	for _, js := range s.jobs {
-		if js.ready {
-			waiting += js.pending()
+		if js.Ready {
+			waiting += js.Pending()
 		} else {
 			notReady++
 		}
