--- /dev/null
+++ b/internal/autoscale/doc.go
@@ -0,0 +1,10 @@
+// Package autoscale decides which machines to rent, and sends the requests.
+//
+// A Planner packs the demand that finds no room onto the machines that are
+// booting and onto new ones, and keeps a reserve. An Inventory knows the
+// machines that are booting or released and what the cloud has lately refused.
+// A Renter sends recorded rent requests and repeats those without an answer.
+//
+// A Planner and its Inventory are not safe for concurrent use: the lock of the
+// scheduler that owns them guards them.
+package autoscale
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -57,7 +57,7 @@
 	var adopt []string // machines that are ours, of whose tasks only the records tell
 	for name, o := range mine {
 		switch {
-		case s.machines[name] != nil || s.moving[name] || s.supply.isGone(name):
+		case s.machines[name] != nil || s.moving[name] || s.inventory.IsReleased(name):
 		case o.Machine == nil || !s.loaded || o.Version <= s.begun:
 			adopt = append(adopt, name) // it may have had tasks since that was written
 		default:
@@ -66,7 +66,7 @@
 	}
 	if epoch.Leader == s.opts.Node {
 		for _, name := range orphans {
-			if s.machines[name] == nil && !s.moving[name] && !s.supply.isGone(name) {
+			if s.machines[name] == nil && !s.moving[name] && !s.inventory.IsReleased(name) {
 				adopt = append(adopt, name)
 			}
 		}
@@ -158,7 +158,7 @@
 // isGoneLocked tells whether a machine was surely given back to the cloud, by
 // this share or by another.
 func (s *Scheduler) isGoneLocked(name string) bool {
-	if s.supply.isGone(name) {
+	if s.inventory.IsReleased(name) {
 		return true
 	}
 	o, _ := s.opts.Authority.OwnerOf(name)
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -133,7 +133,7 @@
 		return
 	}
 	s.grouped = now
-	s.supply.forget(now)
+	s.inventory.ForgetReleased(now)
 	for name, at := range s.unknownTasksSince {
 		if now.Sub(at) > 10*time.Minute {
 			delete(s.unknownTasksSince, name) // gone, or it would have been decided
--- a/internal/scheduler/returns.go
+++ b/internal/scheduler/returns.go
@@ -93,7 +93,7 @@
 	defer s.mu.Unlock()
 	now := time.Now()
 	for _, name := range names {
-		s.supply.gone(name, now)
+		s.inventory.MarkReleased(name, now)
 		if m := s.machines[name]; m != nil {
 			s.goneLocked(m)
 		}
@@ -134,7 +134,7 @@
 	}
 	var names []string
 	for _, name := range s.opts.Actions.Abandoned() {
-		if s.machines[name] == nil && !s.supply.isGone(name) {
+		if s.machines[name] == nil && !s.inventory.IsReleased(name) {
 			names = append(names, name)
 		}
 	}
@@ -156,7 +156,7 @@
 		return
 	}
 	untold := map[string]bool{}
-	for _, name := range s.supply.untold {
+	for _, name := range s.notices.pending {
 		untold[name] = true
 	}
 	s.goDo(func(ctx context.Context) {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -11,6 +11,7 @@
 	"golang.org/x/sync/errgroup"
 	"golang.org/x/time/rate"
 
+	"heronwick/internal/autoscale"
 	"heronwick/internal/cluster"
 	"heronwick/internal/cluster/peerpb"
 	"heronwick/internal/completion"
@@ -198,12 +199,14 @@
 	cycle             schedulingPass
 	used              map[string]placement.Resources // by team, all that may be on machines
 	numbers           attemptNumbers
-	supply            supply
+	inventory         *autoscale.Inventory
+	planner           *autoscale.Planner // shares types and inventory
+	notices           releaseNotices
 	serial            uint64 // numbers what must never be named alike under one token
 	raising           bool
 	raised            time.Time
 	resolve           map[string]bool // jobs being looked up
-	spare             int             // idle and booting machines wanted beyond the demand
+	idleReserve       int             // how many machines may stay idle
 	ledSince          time.Time       // when this controller last began to lead
 	resigned          time.Time
 	grouped           time.Time // when idle machines were last regrouped
@@ -225,11 +228,12 @@
 		types: map[string]*wire.MachineType{}, teams: map[string]config.Team{},
 		wake:          make(chan struct{}, 1),
 		answeredEarly: map[string]time.Time{}, unknownTasksSince: map[string]time.Time{}, jobs: map[string]*jobState{}, machines: map[string]*machine{},
-		used:   map[string]placement.Resources{},
-		supply: newSupply(), resolve: map[string]bool{},
+		used:      map[string]placement.Resources{},
+		inventory: autoscale.NewInventory(), resolve: map[string]bool{},
 		hosted: map[string]*jobState{}, remote: map[fleet.Key]*remoteAttempt{}, denied: map[fleet.Key]time.Time{},
 		peerRequests: map[string]*peerRequestState{}, moving: map[string]bool{},
 	}
+	s.planner = &autoscale.Planner{Types: s.types, Inventory: s.inventory}
 	s.records = &recordTable{
 		buckets: map[string]*bucket{}, scattered: map[*machine]bool{},
 		bucketKey: s.bucketKey, journalKey: s.journalKey, bucketLimit: s.bucketLimit,
@@ -274,7 +278,7 @@
 	m.base, m.fence = s.epoch.Token, s.epoch.Token
 	m.condemned = s.opts.Actions.Condemned(m.Name)
 	s.machines[m.Name] = m
-	delete(s.supply.booting, m.Name)
+	s.inventory.Joined(m.Name)
 	delete(s.answeredEarly, m.Name)
 	return m
 }
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -28,7 +28,7 @@
 		}
 	}
 	s.log.Info("load", "jobs", len(s.jobs), "lent", len(s.remote), "waiting", waiting, "not_ready", notReady, "tasks", tasks, "machines", len(s.machines), "usable", usable,
-		"open", open, "booting", len(s.supply.booting), "cpus", total.CPUs, "free_cpus", free.CPUs, "free_memory_gb", free.MemoryGB,
+		"open", open, "booting", len(s.inventory.Booting()), "cpus", total.CPUs, "free_cpus", free.CPUs, "free_memory_gb", free.MemoryGB,
 		"latency", s.latency(), "passes", s.passes.count, "pass_time", s.passes.total, "longest_pass", s.passes.longest)
 	s.passes = passTimes{}
 }
