--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -1,16 +1,21 @@
 package scheduler
 
 import (
-	"cmp"
-	"slices"
+	"iter"
 	"time"
 
 	"heronwick/internal/fleet"
+	"heronwick/internal/preemption"
 )
 
-// victimsAfter is how soon tasks to stop are looked for again in vain: that
-// looks at every task of the share.
-const victimsAfter = 300 * time.Millisecond
+const (
+	// victimsAfter is how soon tasks to stop are looked for again in vain: that
+	// looks at every task of the scheduler.
+	victimsAfter = 300 * time.Millisecond
+	// preemptAgainAfter is for how long tasks that are being stopped for a job
+	// are awaited before more are stopped for it.
+	preemptAgainAfter = 2 * time.Second
+)
 
 // preemptLocked stops tasks to make room for one task of the job, as far as
 // the rules of preemption permit, on the machine where that loses least; if
@@ -25,70 +30,53 @@
 		return false
 	}
 	// What was stopped a moment ago has not made its room yet.
-	if now.Sub(js.PreemptedAt) < 2*time.Second && s.stoppingLocked() {
+	if now.Sub(js.PreemptedAt) < preemptAgainAfter && s.stoppingLocked() {
 		return true
 	}
-	type choice struct {
-		m       *machine
-		victims []*fleet.Attempt
-		cost    float64
+	req := &preemption.Request{
+		Size: js.Size, Image: js.Record.Job.Image, Team: js.Record.Job.Team, Rank: js.EffectivePriority,
+		Guaranteed: guaranteed, AboveGuarantee: s.aboveGuaranteeLocked,
 	}
-	var best *choice
-	for _, m := range s.machines {
-		if held && !m.HasImage(js.Record.Job.Image) || !s.usableLocked(m, now) || !s.allowedLocked(js, m) {
-			continue
-		}
-		var may []*fleet.Attempt
-		for _, a := range m.Attempts.All() {
-			if !a.Exited() && !a.Stop && s.mayPreempt(js, a, guaranteed) {
-				may = append(may, a)
-			}
-		}
-		if len(may) == 0 {
-			continue
-		}
-		slices.SortFunc(may, func(a, b *fleet.Attempt) int { return cmp.Compare(s.lossOf(a, now), s.lossOf(b, now)) })
-		room := m.Free()
-		c := choice{m: m}
-		if !m.HasImage(js.Record.Job.Image) {
-			c.cost += 10
-		}
-		for _, a := range may {
-			if js.Size.Within(room) {
-				break
-			}
-			room = room.Plus(a.Size)
-			c.victims = append(c.victims, a)
-			c.cost += s.lossOf(a, now)
-		}
-		if js.Size.Within(room) && len(c.victims) > 0 && (best == nil || c.cost < best.cost) {
-			best = &c
-		}
-	}
-	if best == nil {
+	plan := preemption.Choose(req, s.preemptionMachinesLocked(js, held, now), now)
+	if plan == nil {
 		*tried = now
 		return false
 	}
 	js.PreemptedAt = now
-	if js.Hosted {
-		best.m.reservations = append(best.m.reservations, reservation{job: js.Record.Job.ID, size: js.Size, until: now.Add(reservedFor)})
-	}
-	for _, a := range best.victims {
-		s.log.Info("preempting", "task", a.Task, "machine", best.m.Name, "for", js.Record.Job.ID)
-		a.Stop = true
-	}
-	s.sendLocked(best.m)
+	s.carryOutPreemptionLocked(js, plan, now)
 	return true
 }
 
-// lossOf is what stopping an attempt loses, in seconds of work.
-func (s *Scheduler) lossOf(a *fleet.Attempt, now time.Time) float64 {
-	if a.Running.IsZero() {
-		return 0
+// preemptionMachinesLocked yields the machines on which room may be made for
+// the job; with held, those that hold its image.
+func (s *Scheduler) preemptionMachinesLocked(js *jobState, held bool, now time.Time) iter.Seq[*fleet.Machine] {
+	return func(yield func(*fleet.Machine) bool) {
+		for _, m := range s.machines {
+			if held && !m.HasImage(js.Record.Job.Image) || !s.usableLocked(m, now) || !s.allowedLocked(js, m) {
+				continue
+			}
+			if !yield(m.Machine) {
+				return
+			}
+		}
+	}
+}
+
+// carryOutPreemptionLocked stops the victims. Room that they leave to a hosted
+// job is kept for it: it is not in this scheduler's queue.
+func (s *Scheduler) carryOutPreemptionLocked(js *jobState, plan *preemption.Plan, now time.Time) {
+	m := s.machines[plan.Machine.Name]
+	if js.Hosted {
+		m.reservations = append(m.reservations, reservation{job: js.Record.Job.ID, size: js.Size, until: now.Add(reservedFor)})
+	}
+	for _, a := range plan.Victims {
+		s.log.Info("preempting", "task", a.Task, "machine", m.Name, "for", js.Record.Job.ID)
+		a.Stop = true
 	}
-	return 1 + now.Sub(a.Running).Seconds()
+	s.sendLocked(m)
 }
 
+// stoppingLocked tells whether any task is being stopped.
 func (s *Scheduler) stoppingLocked() bool {
 	for _, m := range s.machines {
 		for _, a := range m.Attempts.All() {
@@ -100,16 +88,9 @@
 	return false
 }
 
-// mayPreempt: a higher priority may stop a lower one, and a team that gets
-// its guarantee may stop any work that another runs above its own. What a
-// team of another share uses is not known here.
-func (s *Scheduler) mayPreempt(js *jobState, victim *fleet.Attempt, guaranteed bool) bool {
-	if js.EffectivePriority < victim.Rank {
-		return true
-	}
-	if !guaranteed || victim.Guest || victim.Team == js.Record.Job.Team {
-		return false
-	}
-	t, used := s.teams[victim.Team], s.used[victim.Team]
+// aboveGuaranteeLocked tells whether a team uses more CPUs than it is
+// guaranteed. Teams without a guarantee or limit are never above.
+func (s *Scheduler) aboveGuaranteeLocked(team string) bool {
+	t, used := s.teams[team], s.used[team]
 	return used.CPUs > t.CPUs && (t.CPUs > 0 || t.CPUsMax > 0)
 }
--- a/internal/scheduler/schedulingpass.go
+++ b/internal/scheduler/schedulingpass.go
@@ -151,8 +151,8 @@
 				}
 			}
 		}
-		for name, t := range s.teams {
-			p.above = p.above || (t.CPUs > 0 || t.CPUsMax > 0) && s.used[name].CPUs > t.CPUs
+		for name := range s.teams {
+			p.above = p.above || s.aboveGuaranteeLocked(name)
 		}
 	}
 	return js.EffectivePriority < s.cycle.lowest || guaranteed && s.cycle.above
