--- a/cmd/heronwick/controller.go
+++ b/cmd/heronwick/controller.go
@@ -16,6 +16,7 @@
 	"heronwick/internal/duty"
 	"heronwick/internal/job"
 	"heronwick/internal/overload"
+	"heronwick/internal/remote"
 	"heronwick/internal/scheduler"
 	"heronwick/internal/server"
 	"heronwick/internal/state"
@@ -68,7 +69,7 @@
 	share     atomic.Pointer[scheduler.Scheduler]
 	spare     atomic.Pointer[spare]
 	told      atomic.Pointer[[]*peerpb.Progress] // progress
-	requests  scheduler.PlaceRequestHistory
+	requests  remote.RequestHistory
 	cutAt     atomic.Int64 // when the share last could not reach most workers
 	chains    *chainWatch
 	duties    duties
@@ -238,7 +239,7 @@
 	if s := c.share.Load(); s != nil {
 		return s.Place(req)
 	}
-	c.requests.Newer(req) // it has come: refused, and so for ever
+	c.requests.Accept(req) // it has come: refused, and so for ever
 	return &peerpb.PlaceReply{}
 }
 
--- /dev/null
+++ b/internal/remote/requests.go
@@ -0,0 +1,111 @@
+package remote
+
+import (
+	"sync"
+	"time"
+
+	"heronwick/internal/cluster/peerpb"
+)
+
+const (
+	// RetryAfter is how soon a peer without room is asked again.
+	RetryAfter = 400 * time.Millisecond
+	// retryUrgentAfter is how soon it is asked for what is urgent.
+	retryUrgentAfter = 100 * time.Millisecond
+	// retryFailedAfter is how soon a peer is asked again that did not answer.
+	retryFailedAfter = time.Second
+	// retryProgressAfter is how soon a peer is asked again that had or makes room.
+	retryProgressAfter = 50 * time.Millisecond
+)
+
+// Outcome is how a peer answered a placement request.
+type Outcome int
+
+const (
+	// NoRoom means that the peer took nothing.
+	NoRoom Outcome = iota
+	// Failed means that there was no answer.
+	Failed
+	// Progress means that the peer took tasks, hands over machines or makes room.
+	Progress
+)
+
+// Throttle allows one placement request at a time to each peer, and keeps them
+// apart by how the last one was answered. The zero value is ready to use.
+type Throttle struct{ peers map[string]*peerState }
+
+// peerState is when one peer may be asked.
+type peerState struct {
+	inFlight   bool
+	next       time.Time // not before then
+	nextUrgent time.Time // not before then for what is urgent
+}
+
+func (t *Throttle) peer(node string) *peerState {
+	if t.peers == nil {
+		t.peers = map[string]*peerState{}
+	}
+	p := t.peers[node]
+	if p == nil {
+		p = &peerState{}
+		t.peers[node] = p
+	}
+	return p
+}
+
+// Allows tells whether a peer may be asked now.
+func (t *Throttle) Allows(node string, urgent bool, now time.Time) bool {
+	p := t.peer(node)
+	return !p.inFlight && (urgent || !now.Before(p.next)) && !now.Before(p.nextUrgent)
+}
+
+// Begin notes that a request goes out to a peer.
+func (t *Throttle) Begin(node string) { t.peer(node).inFlight = true }
+
+// End notes how the request to a peer ended.
+func (t *Throttle) End(node string, outcome Outcome, now time.Time) {
+	p := t.peer(node)
+	p.inFlight = false
+	switch outcome {
+	case NoRoom:
+		p.next, p.nextUrgent = now.Add(RetryAfter), now.Add(retryUrgentAfter)
+	case Failed:
+		p.next, p.nextUrgent = now.Add(retryFailedAfter), now.Add(retryUrgentAfter)
+	case Progress:
+		p.next, p.nextUrgent = now.Add(retryProgressAfter), now
+	}
+}
+
+// RequestHistory remembers, by peer, the newest attempt that a placement
+// request has named, however it was answered and whether a scheduler was
+// running: what was refused is placed elsewhere, and a late copy must not be
+// taken then (ran_twice). It lasts as long as the process; requests to an
+// earlier incarnation are from before this one's membership. Its zero value
+// is ready to use and it is safe for concurrent use.
+type RequestHistory struct {
+	mu     sync.Mutex
+	newest map[string]uint64 // by peer, the newest attempt that it has asked about
+}
+
+// Accept tells whether a request is no late copy: all attempts that it names
+// must be newer than those of the peer's requests before, since their numbers
+// rise and the peer asks once for each. An accepted request is remembered.
+func (h *RequestHistory) Accept(req *peerpb.PlaceRequest) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	before := h.newest[req.Node]
+	newest := before
+	for _, wanted := range req.Wanted {
+		for _, at := range wanted.Attempts {
+			if at.Attempt <= before {
+				return false
+			}
+			newest = max(newest, at.Attempt)
+		}
+	}
+	if h.newest == nil {
+		h.newest = map[string]uint64{}
+	}
+	h.newest[req.Node] = newest
+	return true
+}
--- /dev/null
+++ b/internal/remote/settle.go
@@ -0,0 +1,100 @@
+package remote
+
+import (
+	"time"
+
+	"heronwick/internal/cluster/peerpb"
+	"heronwick/internal/fleet"
+)
+
+const (
+	// maxSettled bounds the attempts of one settle request: all of a large
+	// fleet in one would exceed what gRPC takes as a message, and hold the
+	// host's lock for long.
+	maxSettled = 8192
+	// deniedMemory is for how long a denied attempt cannot be taken; no
+	// placement request is in flight for longer, and none survives its epoch.
+	deniedMemory = 10 * time.Minute
+)
+
+// SettleRequests are the requests by which a controller asks the hosts of its
+// remote attempts what became of them, as many for each host as it takes.
+type SettleRequests struct {
+	node   string
+	token  uint64
+	byHost map[string][]*peerpb.SettleRequest
+}
+
+// NewSettleRequests returns requests of the controller node under a fencing
+// token, without any attempts.
+func NewSettleRequests(node string, token uint64) *SettleRequests {
+	return &SettleRequests{node: node, token: token, byHost: map[string][]*peerpb.SettleRequest{}}
+}
+
+// ByHost returns the requests by host.
+func (r *SettleRequests) ByHost() map[string][]*peerpb.SettleRequest { return r.byHost }
+
+// Add asks the attempt's host about it, or, if it exited and its end is
+// recorded, tells the host so. About one that exited and is not recorded yet
+// there is nothing to ask.
+func (r *SettleRequests) Add(a *Attempt, recorded bool) {
+	req := r.requestFor(a.Host, a.HostSince)
+	switch {
+	case !a.Exited():
+		req.Attempts = append(req.Attempts, message(a.Key))
+	case recorded:
+		req.Handled = append(req.Handled, message(a.Key))
+	}
+}
+
+// requestFor returns the host's last request, or a new one if that is full.
+func (r *SettleRequests) requestFor(host string, since uint64) *peerpb.SettleRequest {
+	requests := r.byHost[host]
+	if len(requests) > 0 {
+		last := requests[len(requests)-1]
+		if len(last.Attempts)+len(last.Handled) < maxSettled {
+			return last
+		}
+	}
+	req := &peerpb.SettleRequest{Node: r.node, Token: r.token, Since: since}
+	r.byHost[host] = append(requests, req)
+	return req
+}
+
+// AttemptNumbers returns the numbers of all attempts that a settle request
+// names. Only the tasks of a gang share a number.
+func AttemptNumbers(req *peerpb.SettleRequest) map[uint64]bool {
+	numbers := make(map[uint64]bool, len(req.Attempts)+len(req.Handled))
+	for _, at := range req.Attempts {
+		numbers[at.Attempt] = true
+	}
+	for _, at := range req.Handled {
+		numbers[at.Attempt] = true
+	}
+	return numbers
+}
+
+// DeniedAttempts are the attempts that a host has said not to have: a
+// placement request that is still in flight must not bring them later. The
+// zero value is ready to use.
+type DeniedAttempts struct{ since map[fleet.Key]time.Time }
+
+// Deny bars an attempt.
+func (d *DeniedAttempts) Deny(key fleet.Key, now time.Time) {
+	if d.since == nil {
+		d.since = map[fleet.Key]time.Time{}
+	}
+	d.since[key] = now
+}
+
+// Denied tells whether an attempt is barred.
+func (d *DeniedAttempts) Denied(key fleet.Key) bool { return !d.since[key].IsZero() }
+
+// Expire forgets the attempts that were denied long ago.
+func (d *DeniedAttempts) Expire(now time.Time) {
+	for key, at := range d.since {
+		if now.Sub(at) > deniedMemory {
+			delete(d.since, key)
+		}
+	}
+}
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"heronwick/internal/fleet"
+	"heronwick/internal/job"
 	"heronwick/internal/placement"
 	"heronwick/wire"
 )
@@ -24,8 +25,8 @@
 		return
 	}
 	a.Guest = false
-	if f := s.remote[a.Key]; f != nil {
-		s.forgetRemoteLocked(f) // it was another's, and its machine is now ours
+	if remote := s.remoteAttempts.Get(a.Key); remote != nil {
+		s.forgetRemoteLocked(remote) // it was another's, and its machine is now ours
 	}
 	s.describe(a, &js.Record.Job, js.EffectivePriority)
 	if a.Exited() {
@@ -48,6 +49,11 @@
 	}
 }
 
+// sizeOf is what each task of a job took that is over.
+func sizeOf(f job.Outcome) placement.Resources {
+	return placement.Resources{CPUs: f.CPUs, GPUs: f.GPUs, MemoryGB: f.MemoryGB}
+}
+
 // graceFor leaves a task a little more than its owner says it needs to save.
 func graceFor(j *wire.Job) float64 { return j.SaveS*1.25 + 0.5 }
 
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -171,7 +171,7 @@
 		}
 	}
 	for _, w := range s.opts.Authority.UnplacedWants() {
-		js := s.hosted[w.Job]
+		js := s.hostedJobs[w.Job]
 		if js == nil {
 			r := s.opts.Jobs.Active(w.Job)
 			if r == nil {
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -137,9 +137,9 @@
 			}
 		}
 	}
-	for _, f := range s.remote {
-		if lost[f.Job] {
-			s.forgetRemoteLocked(f)
+	for a := range s.remoteAttempts.All() {
+		if lost[a.Job] {
+			s.forgetRemoteLocked(a)
 		}
 	}
 }
--- a/internal/scheduler/hosting.go
+++ b/internal/scheduler/hosting.go
@@ -7,32 +7,33 @@
 import (
 	"cmp"
 	"slices"
-	"sync"
 	"time"
 
 	"heronwick/internal/cluster/peerpb"
 	"heronwick/internal/fleet"
+	"heronwick/internal/job"
+	"heronwick/internal/remote"
 	"heronwick/wire"
 )
 
-// Place takes tasks of another share's jobs, as far as they find room here;
-// an idle machine goes to the asking share as a whole instead.
+// Place takes tasks of another controller's jobs, as far as they find room
+// here; an idle machine is handed over to that controller instead.
 func (s *Scheduler) Place(req *peerpb.PlaceRequest) *peerpb.PlaceReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reply := &peerpb.PlaceReply{}
-	if !s.opts.PlaceRequests.Newer(req) {
+	if !s.opts.PlaceRequests.Accept(req) {
 		return reply // a late copy: what it asks for may have been taken, ended and taken elsewhere since
 	}
-	if !s.loaded || !s.permitted() || req.Token > s.epoch.Token || req.Token < s.epoch.from || s.opts.Authority.Token() != s.epoch.Token {
-		return reply // not of one mind about who owns what
+	if !s.mayHostLocked(req) {
+		return reply
 	}
 	reply.Ready = true
 	now := time.Now()
 	s.beginPassLocked()
 	overloaded := s.opts.Authority.PeerLoads()[req.Node].Overloaded
-	for _, w := range req.Wanted {
-		s.placeWantedLocked(req.Node, overloaded, w, reply, now)
+	for _, wanted := range req.Wanted {
+		s.placeWantedLocked(req.Node, overloaded, wanted, reply, now)
 	}
 	if len(reply.Taken) > 0 {
 		s.poke()
@@ -40,123 +41,150 @@
 	return reply
 }
 
-// PlaceRequestHistory remembers, by peer, the newest attempt that a placement
-// request has named, however it was answered and whether a Scheduler was
-// running: what was refused is placed elsewhere, and a late copy must not be
-// taken then (ran_twice). It lasts as long as the process; requests to an
-// earlier incarnation are from before this one's membership. Its zero value
-// is ready to use and it is safe for concurrent use.
-type PlaceRequestHistory struct {
-	mu     sync.Mutex
-	newest map[string]uint64 // by peer, the newest attempt that it has asked about
-}
-
-// Newer tells whether all attempts that a peer asks about are newer than those
-// of its requests before: their numbers rise, and it asks once for each.
-func (r *PlaceRequestHistory) Newer(req *peerpb.PlaceRequest) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	before := r.newest[req.Node]
-	newest := before
-	for _, w := range req.Wanted {
-		for _, at := range w.Attempts {
-			if at.Attempt <= before {
-				return false
-			}
-			newest = max(newest, at.Attempt)
-		}
-	}
-	if r.newest == nil {
-		r.newest = map[string]uint64{}
-	}
-	r.newest[req.Node] = newest
-	return true
+// mayHostLocked tells whether this scheduler may place for the sender: both
+// must agree on who owns what.
+func (s *Scheduler) mayHostLocked(req *peerpb.PlaceRequest) bool {
+	return s.loaded && s.permitted() && req.Token <= s.epoch.Token && req.Token >= s.epoch.from &&
+		s.opts.Authority.Token() == s.epoch.Token
+}
+
+// jobRequest is what a placement request asks for one job.
+type jobRequest struct {
+	from       string // the job's owner
+	overloaded bool   // the owner is: no machine is handed over to it
+	record     *job.Record
+	job        *jobState
+	wanted     *peerpb.Wanted
+	placed     int // how many of the wanted attempts are placed here
 }
 
-// placeWantedLocked places what one job asks for. An asker that is overloaded is
-// given no machine as a whole.
-func (s *Scheduler) placeWantedLocked(from string, overloaded bool, w *peerpb.Wanted, reply *peerpb.PlaceReply, now time.Time) {
-	r := s.opts.Jobs.Active(w.Job)
-	if r == nil || s.epoch.OwnerOf(r.Job.Team, r.Job.ID) != from {
+// pending is how many tasks of the job wait, also beyond the request.
+func (r *jobRequest) pending() int { return int(r.wanted.Pending) - r.placed }
+
+// placeWantedLocked places what a request asks for one job. What finds no room
+// is remembered, so that the job takes its turn in the queue.
+func (s *Scheduler) placeWantedLocked(from string, overloaded bool, wanted *peerpb.Wanted, reply *peerpb.PlaceReply, now time.Time) {
+	record := s.opts.Jobs.Active(wanted.Job)
+	if record == nil || s.epoch.OwnerOf(record.Job.Team, record.Job.ID) != from {
 		return
 	}
-	g := s.hosted[w.Job]
-	if g == nil {
-		g = s.newJob(r)
-		g.Hosted = true
-		s.hosted[w.Job] = g
-	}
-	g.OwnerGuaranteed, g.OwnerUnplaced = w.Guaranteed, 0
-	g.Zones = map[string]int{}
-	for zone, n := range w.Zones {
-		g.Zones[zone] = int(n)
-	}
-	left := len(w.Attempts)
-	for _, at := range w.Attempts {
-		key := fleet.Key{Task: at.Task, Attempt: at.Attempt}
+	r := &jobRequest{from: from, overloaded: overloaded, record: record, job: s.hostedJobLocked(record, wanted), wanted: wanted}
+	for _, at := range wanted.Attempts {
 		_, index, ok := wire.SplitTaskID(at.Task)
-		if !ok || !s.denied[key].IsZero() {
+		if !ok || s.denied.Denied(remote.KeyOf(at)) {
 			continue
 		}
-		if r.Job.Kind == wire.KindGang {
-			// A gang is placed in one walk of one share, which needs machines
-			// for it, not places.
-			if idle := s.idleLocked(g, now); idle != nil && s.canHandOverLocked(idle, now) {
-				s.handOverLocked([]*machine{idle}, from)
-				reply.Given++
-			}
+		if !s.hostNextLocked(r, at, index, reply, now) {
 			break
 		}
-		m, wait := s.findHeldLocked(g, now, w.Guaranteed)
-		if m == nil && !wait && !w.Held {
-			if m = s.findAnyLocked(g, now); m == nil {
-				wait = s.preemptLocked(g, now, false, w.Guaranteed)
-			}
-		}
-		if m == nil {
-			reply.Making = reply.Making || wait
-			break
-		}
-		if !overloaded && s.canHandOverLocked(m, now) {
-			// The asking share places there itself.
-			reply.Given += uint32(s.handOverForLocked(g, m, from, int(w.Pending)-(len(w.Attempts)-left), now))
-			break
-		}
-		a := &fleet.Attempt{Key: key, Job: w.Job, Index: index, Guest: true, Epoch: s.epoch.Token}
-		s.describe(a, &r.Job, g.EffectivePriority)
-		m.Add(a, now)
-		m.looked = 0
-		m.dirty = true
-		m.useReservation(w.Job)
-		g.Zones[m.Zone]++
-		left--
-		reply.Taken = append(reply.Taken, &peerpb.Hosted{Attempt: at, Zone: m.Zone, Known: true})
-		s.log.Debug("placed", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "image_held", m.HasImage(a.Image), "for", from)
 	}
-	if left > 0 && !w.Held {
-		g.OwnerUnplaced, g.OwnerAskedAt = int(w.Pending)-(len(w.Attempts)-left), now
+	if r.placed < len(wanted.Attempts) && !wanted.Held {
+		r.job.OwnerUnplaced, r.job.OwnerAskedAt = r.pending(), now
+	}
+}
+
+// hostedJobLocked returns the state of another controller's job, brought up to
+// date by what its owner says of it.
+func (s *Scheduler) hostedJobLocked(record *job.Record, wanted *peerpb.Wanted) *jobState {
+	js := s.hostedJobs[wanted.Job]
+	if js == nil {
+		js = s.newJob(record)
+		js.Hosted = true
+		s.hostedJobs[wanted.Job] = js
+	}
+	js.OwnerGuaranteed, js.OwnerUnplaced = wanted.Guaranteed, 0
+	js.Zones = map[string]int{}
+	for zone, n := range wanted.Zones {
+		js.Zones[zone] = int(n)
+	}
+	return js
+}
+
+// hostNextLocked places the next attempt that is asked for, or hands over
+// machines for it. It returns false if the others need not be looked at.
+func (s *Scheduler) hostNextLocked(r *jobRequest, at *peerpb.Attempt, index int, reply *peerpb.PlaceReply, now time.Time) bool {
+	if r.record.Job.Kind == wire.KindGang {
+		s.handOverForGangLocked(r, reply, now)
+		return false
+	}
+	m, making := s.findForHostedLocked(r, now)
+	if m == nil {
+		reply.Making = reply.Making || making
+		return false
+	}
+	if !r.overloaded && s.canHandOverLocked(m, now) {
+		// The owner places there itself.
+		reply.Given += uint32(s.handOverForLocked(r.job, m, r.from, r.pending(), now))
+		return false
 	}
+	s.hostLocked(r, at, index, m, now)
+	reply.Taken = append(reply.Taken, &peerpb.Hosted{Attempt: at, Zone: m.Zone, Known: true})
+	return true
+}
+
+// handOverForGangLocked hands over an idle machine, if there is one. A gang is
+// placed in one walk by its owner, which needs machines for it, not places.
+func (s *Scheduler) handOverForGangLocked(r *jobRequest, reply *peerpb.PlaceReply, now time.Time) {
+	if idle := s.idleLocked(r.job, now); idle != nil && s.canHandOverLocked(idle, now) {
+		s.handOverLocked([]*machine{idle}, r.from)
+		reply.Given++
+	}
+}
+
+// findForHostedLocked finds a machine for the next task of a request: one that
+// holds its image first. making tells that room is being made instead.
+func (s *Scheduler) findForHostedLocked(r *jobRequest, now time.Time) (m *machine, making bool) {
+	m, making = s.findHeldLocked(r.job, now, r.wanted.Guaranteed)
+	if m != nil || making || r.wanted.Held {
+		return m, making
+	}
+	if m = s.findAnyLocked(r.job, now); m != nil {
+		return m, false
+	}
+	return nil, s.preemptLocked(r.job, now, false, r.wanted.Guaranteed)
+}
+
+// hostLocked books an attempt of another controller's job on a machine.
+func (s *Scheduler) hostLocked(r *jobRequest, at *peerpb.Attempt, index int, m *machine, now time.Time) {
+	id := r.wanted.Job
+	a := &fleet.Attempt{Key: remote.KeyOf(at), Job: id, Index: index, Guest: true, Epoch: s.epoch.Token}
+	s.describe(a, &r.record.Job, r.job.EffectivePriority)
+	m.Add(a, now)
+	m.looked = 0
+	m.dirty = true
+	m.useReservation(id)
+	r.job.Zones[m.Zone]++
+	r.placed++
+	s.log.Debug("placed", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "image_held", m.HasImage(a.Image), "for", r.from)
 }
 
-// handOverForLocked gives a share that starves the first machine and as many more
-// idle ones as the job's pending tasks need, but leaves as many as it gives:
-// the next to ask may need them as much. It returns how many it gave.
+// handOverForLocked hands over to a controller that starves the first machine
+// and as many more idle ones as the job's pending tasks need, but keeps as
+// many as it hands over: the next to ask may need them as much. It returns how
+// many it handed over.
 func (s *Scheduler) handOverForLocked(js *jobState, first *machine, node string, pending int, now time.Time) int {
-	fit := max(1, int(1/max(js.DominantShare, 1e-3)))
-	want := (pending + fit - 1) / fit
-	giving := []*machine{first}
+	tasksPerMachine := max(1, int(1/max(js.DominantShare, 1e-3)))
+	needed := (pending + tasksPerMachine - 1) / tasksPerMachine
+	chosen := []*machine{first}
+	if needed > 1 {
+		idle := s.idleForHandoverLocked(js, first, now)
+		chosen = append(chosen, idle[:min(needed-1, len(idle)/2)]...)
+	}
+	s.handOverLocked(chosen, node)
+	return len(chosen)
+}
+
+// idleForHandoverLocked returns the idle machines beside first that take a
+// task of the job and may be handed over, by name.
+func (s *Scheduler) idleForHandoverLocked(js *jobState, first *machine, now time.Time) []*machine {
 	var idle []*machine
-	if want > 1 {
-		for _, m := range s.machines {
-			if m != first && !s.list.Has(m) && s.canHandOverLocked(m, now) && s.fitsLocked(js, m, now) {
-				idle = append(idle, m)
-			}
+	for _, m := range s.machines {
+		if m != first && !s.list.Has(m) && s.canHandOverLocked(m, now) && s.fitsLocked(js, m, now) {
+			idle = append(idle, m)
 		}
-		slices.SortFunc(idle, func(a, b *machine) int { return cmp.Compare(a.Name, b.Name) })
-		giving = append(giving, idle[:min(want-1, len(idle)/2)]...)
 	}
-	s.handOverLocked(giving, node)
-	return len(giving)
+	slices.SortFunc(idle, func(a, b *machine) int { return cmp.Compare(a.Name, b.Name) })
+	return idle
 }
 
 // hostedAttempt is an attempt of another controller's job that runs here, and
@@ -170,13 +198,7 @@
 // hundreds at once, of thousands that are here: their numbers alone, which only
 // a gang's tasks share, tell most of the others apart.
 func (s *Scheduler) hostedAttemptsLocked(req *peerpb.SettleRequest) map[fleet.Key]hostedAttempt {
-	numbers := make(map[uint64]bool, len(req.Attempts)+len(req.Handled))
-	for _, at := range req.Attempts {
-		numbers[at.Attempt] = true
-	}
-	for _, at := range req.Handled {
-		numbers[at.Attempt] = true
-	}
+	numbers := remote.AttemptNumbers(req)
 	here := make(map[fleet.Key]hostedAttempt, len(numbers))
 	for _, m := range s.machines {
 		for _, a := range m.Attempts.All() {
@@ -188,38 +210,47 @@
 	return here
 }
 
-// Settle tells what became of attempts that this share may have taken, and
+// Settle tells what became of attempts that this scheduler may have taken, and
 // lets go of those whose end is recorded. What is not known here never will
-// be: a request that is still under way must not bring it later.
+// be: a placement request that is still in flight must not bring it later.
 func (s *Scheduler) Settle(req *peerpb.SettleRequest) *peerpb.SettleReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reply := &peerpb.SettleReply{}
-	if !s.loaded || s.epoch.Token < req.Token || s.epoch.Members[s.opts.Node].Since != req.Since || s.epoch.Leader == s.opts.Node && s.adopted < req.Token {
+	if !s.maySettleLocked(req) {
 		return reply
 	}
 	reply.Ready = true
 	now := time.Now()
 	here := s.hostedAttemptsLocked(req)
 	for _, at := range req.Handled {
-		if h := here[fleet.Key{Task: at.Task, Attempt: at.Attempt}]; h.attempt != nil && h.attempt.Exited() {
+		if h := here[remote.KeyOf(at)]; h.attempt != nil && h.attempt.Exited() {
 			h.attempt.Handled = true
 		}
 	}
 	for _, at := range req.Attempts {
-		h := &peerpb.Hosted{Attempt: at}
-		key := fleet.Key{Task: at.Task, Attempt: at.Attempt}
-		if found := here[key]; found.attempt != nil {
-			h.Known, h.Zone, h.State, h.Why = true, found.machine.Zone, string(found.attempt.State), string(found.attempt.Why)
-		} else {
-			s.denied[key] = now
-		}
-		reply.Hosted = append(reply.Hosted, h)
-	}
-	for key, at := range s.denied {
-		if now.Sub(at) > deniedFor {
-			delete(s.denied, key)
-		}
+		reply.Hosted = append(reply.Hosted, s.settledLocked(at, here, now))
 	}
+	s.denied.Expire(now)
 	return reply
 }
+
+// maySettleLocked tells whether this scheduler knows all that may be on its
+// machines, as the membership that the sender means.
+func (s *Scheduler) maySettleLocked(req *peerpb.SettleRequest) bool {
+	adopting := s.epoch.Leader == s.opts.Node && s.adopted < req.Token
+	return s.loaded && s.epoch.Token >= req.Token && s.epoch.Members[s.opts.Node].Since == req.Since && !adopting
+}
+
+// settledLocked tells what became of an attempt, and denies it for good if it
+// is not among those that are here.
+func (s *Scheduler) settledLocked(at *peerpb.Attempt, here map[fleet.Key]hostedAttempt, now time.Time) *peerpb.Hosted {
+	key := remote.KeyOf(at)
+	found := here[key]
+	if found.attempt == nil {
+		s.denied.Deny(key, now)
+		return &peerpb.Hosted{Attempt: at}
+	}
+	return &peerpb.Hosted{Attempt: at, Known: true, Zone: found.machine.Zone,
+		State: string(found.attempt.State), Why: string(found.attempt.Why)}
+}
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -85,7 +85,7 @@
 	if js := s.jobs[id]; js != nil {
 		return js
 	}
-	return s.hosted[id]
+	return s.hostedJobs[id]
 }
 
 // JobAdded implements job.Listener.
@@ -184,7 +184,7 @@
 	}
 	s.completions.Forget(id)
 	delete(s.jobs, id)
-	delete(s.hosted, id)
+	delete(s.hostedJobs, id)
 	s.endTasksLocked(id, f, goneBy)
 }
 
@@ -218,7 +218,7 @@
 		}
 		a.Stop, a.GraceS, a.MustGoBy = true, 0, goneBy
 		if !a.Sized {
-			a.Team, a.Size, a.Sized = f.Team, placement.Resources{CPUs: f.CPUs, GPUs: f.GPUs, MemoryGB: f.MemoryGB}, true
+			a.Team, a.Size, a.Sized = f.Team, sizeOf(f), true
 			if s.epoch.OwnerOf(f.Team, id) == s.opts.Node {
 				s.countLocked(m.Zone, a)
 			}
@@ -253,9 +253,9 @@
 			}
 		}
 	}
-	for _, f := range s.remote {
-		if f.State == wire.TaskRunning {
-			running[f.Job]++
+	for a := range s.remoteAttempts.All() {
+		if a.State == wire.TaskRunning {
+			running[a.Job]++
 		}
 	}
 	changed := map[string]job.Progress{}
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"heronwick/internal/placement"
+	"heronwick/internal/remote"
 	"heronwick/wire"
 )
 
@@ -136,7 +137,7 @@
 		return
 	}
 	// Guests take their turn: what they want is kept free until they ask again.
-	for _, g := range s.hosted {
+	for _, g := range s.hostedJobs {
 		if g.OwnerUnplaced > 0 && now.Sub(g.OwnerAskedAt) < reservedFor {
 			queue = append(queue, g)
 		}
@@ -205,15 +206,15 @@
 }
 
 // reservedFor is how long room kept for a guest waits for it; its owner asks again
-// every lendAgain.
-const reservedFor = 2 * retryPeerAfter
+// every remote.RetryAfter.
+const reservedFor = 2 * remote.RetryAfter
 
 // reserveLocked keeps free room for the tasks that a guest has asked for in
 // vain: on open machines first, then on idle ones.
 func (s *Scheduler) reserveLocked(g *jobState, now time.Time, held bool) {
 	id := g.Record.Job.ID
 	kept := s.reservedLocked(now)
-	wants := min(g.OwnerUnplaced, maxAskedPerJob) - kept[id]
+	wants := min(g.OwnerUnplaced, maxRequestTasksPerJob) - kept[id]
 	sh, plain := g.placementClass()
 	if wants <= 0 || plain && s.cycle.full[sh] || s.lacksRoomLocked(g.Size, now) {
 		return
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -67,7 +67,7 @@
 	s.adopted = epoch.Token
 	if first || len(gained)+adopted > 0 {
 		s.log.Info("share rebuilt", "token", epoch.Token, "jobs", len(s.jobs), "gained", len(isGained), "machines", len(s.machines),
-			"adopted", adopted, "lent", len(s.remote))
+			"adopted", adopted, "lent", s.remoteAttempts.Len())
 	}
 	s.loaded = true
 	if s.epoch.Leader == s.opts.Node {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -20,6 +20,7 @@
 	"heronwick/internal/fleet"
 	"heronwick/internal/job"
 	"heronwick/internal/placement"
+	"heronwick/internal/remote"
 	"heronwick/internal/state"
 	"heronwick/internal/wait"
 	"heronwick/wire"
@@ -100,7 +101,7 @@
 	Cloud         Cloud
 	Actions       *duty.Actions
 	Peers         Peers
-	PlaceRequests *PlaceRequestHistory // for room, that have come
+	PlaceRequests *remote.RequestHistory // that have come from peers
 	Jobs          Jobs
 	Records       Records
 	Committer     Committer
@@ -175,14 +176,14 @@
 	loaded            bool
 	adopted           uint64 // under this epoch, machines without an owner have been taken
 	building          bool
-	begun             uint64                       // version of the epoch when the scheduler began
-	answeredEarly     map[string]time.Time         // reports answered before the records were read
-	unknownTasksSince map[string]time.Time         // since when machines have had tasks of unknown jobs
-	jobs              map[string]*jobState         // the scheduler's own
-	hosted            map[string]*jobState         // jobs of other controllers that have, or want, tasks here
-	remote            map[fleet.Key]*remoteAttempt // tasks of own jobs that may be on others' machines
-	denied            map[fleet.Key]time.Time
-	peerRequests      map[string]*peerRequestState
+	begun             uint64               // version of the epoch when the scheduler began
+	answeredEarly     map[string]time.Time // reports answered before the records were read
+	unknownTasksSince map[string]time.Time // since when machines have had tasks of unknown jobs
+	jobs              map[string]*jobState // the scheduler's own
+	hostedJobs        map[string]*jobState // jobs of other controllers that have, or want, tasks here
+	remoteAttempts    *remote.Attempts     // tasks of own jobs that may be on others' machines
+	placeThrottle     remote.Throttle
+	denied            remote.DeniedAttempts // hosted here never more
 	machines          map[string]*machine
 	records           *recordTable
 	journaled         time.Time       // when one may next be written
@@ -230,8 +231,8 @@
 		answeredEarly: map[string]time.Time{}, unknownTasksSince: map[string]time.Time{}, jobs: map[string]*jobState{}, machines: map[string]*machine{},
 		used:      map[string]placement.Resources{},
 		inventory: autoscale.NewInventory(), resolve: map[string]bool{},
-		hosted: map[string]*jobState{}, remote: map[fleet.Key]*remoteAttempt{}, denied: map[fleet.Key]time.Time{},
-		peerRequests: map[string]*peerRequestState{}, moving: map[string]bool{},
+		hostedJobs: map[string]*jobState{}, remoteAttempts: remote.NewAttempts(),
+		moving: map[string]bool{},
 	}
 	s.planner = &autoscale.Planner{Types: s.types, Inventory: s.inventory}
 	s.records = &recordTable{
--- /dev/null
+++ b/internal/scheduler/settle.go
@@ -0,0 +1,102 @@
+package scheduler
+
+// Settling: the owner of a job asks the hosts of its remote attempts what
+// became of them. hosting.go answers.
+
+import (
+	"context"
+	"time"
+
+	"heronwick/internal/cluster/peerpb"
+	"heronwick/internal/remote"
+	"heronwick/internal/wait"
+	"heronwick/wire"
+)
+
+// settleEvery is how often the hosts of remote attempts are asked.
+const settleEvery = 400 * time.Millisecond
+
+// runRemote asks the hosts of remote attempts what became of them.
+func (s *Scheduler) runRemote(ctx context.Context) error {
+	return wait.Every(ctx, settleEvery, func() {
+		s.mu.Lock()
+		requests := s.settleRequestsLocked()
+		s.mu.Unlock()
+		for node, parts := range requests {
+			for _, req := range parts {
+				s.settle(ctx, node, req)
+			}
+		}
+	})
+}
+
+// settleRequestsLocked asks each host about the attempts that it may have, in as
+// many requests as it takes.
+func (s *Scheduler) settleRequestsLocked() map[string][]*peerpb.SettleRequest {
+	requests := remote.NewSettleRequests(s.opts.Node, s.epoch.Token)
+	for a := range s.remoteAttempts.All() {
+		if a.Requested {
+			continue
+		}
+		s.followHostLocked(a)
+		if a.Host != s.opts.Node {
+			requests.Add(a, a.Handled || s.jobs[a.Job] == nil)
+		} else if s.loaded && s.adopted == s.epoch.Token {
+			// Its machine was taken over here, without it.
+			s.forgetRemoteLocked(a)
+		}
+	}
+	return requests.ByHost()
+}
+
+// followHostLocked makes the leader the host of an attempt whose host's
+// membership is over, also when that controller is back: it knows nothing of
+// what it had taken before, whoever adopted its machines does.
+func (s *Scheduler) followHostLocked(a *remote.Attempt) {
+	if s.epoch.Members[a.Host].Since != a.HostSince {
+		a.Host, a.HostSince = s.epoch.Leader, s.epoch.Members[s.epoch.Leader].Since
+	}
+}
+
+// settle sends one settle request and takes its answer.
+func (s *Scheduler) settle(ctx context.Context, node string, req *peerpb.SettleRequest) {
+	reply, err := s.sendSettleRequest(ctx, node, req)
+	if err != nil || !reply.Ready {
+		s.log.Debug("settling remote attempts failed", "peer", node, "err", err)
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := time.Now()
+	for _, at := range req.Handled {
+		if a := s.remoteAttempts.Get(remote.KeyOf(at)); a != nil {
+			s.forgetRemoteLocked(a)
+		}
+	}
+	for _, hosted := range reply.Hosted {
+		a := s.remoteAttempts.Get(remote.KeyOf(hosted.Attempt))
+		if a != nil && a.Host == node && !a.Exited() {
+			s.takeSettledLocked(a, hosted, now)
+		}
+	}
+}
+
+func (s *Scheduler) sendSettleRequest(ctx context.Context, node string, req *peerpb.SettleRequest) (*peerpb.SettleReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
+	defer cancel()
+	return s.opts.Peers.Settle(ctx, node, req)
+}
+
+// takeSettledLocked takes what its host tells of a remote attempt.
+func (s *Scheduler) takeSettledLocked(a *remote.Attempt, hosted *peerpb.Hosted, now time.Time) {
+	if !hosted.Known {
+		s.log.Info("task lost", "task", a.Task, "attempt", a.Attempt.Attempt, "host", a.Host)
+		s.forgetRemoteLocked(a)
+		return
+	}
+	s.moveZoneLocked(a, hosted.Zone)
+	a.State, a.Why = wire.TaskState(hosted.State), wire.ExitReason(hosted.Why)
+	if a.Exited() {
+		s.endedLocked(a.Attempt, now)
+	}
+}
