--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -178,8 +178,8 @@
 			evidence++
 		}
 	}
-	if evidence >= 2 && !m.suspect {
-		m.suspect = true
+	if evidence >= 2 && !m.quarantined {
+		m.quarantined = true
 		s.log.Info("machine set aside: jobs fail on it that do not fail elsewhere", "machine", m.Name)
 	}
 }
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -93,7 +93,7 @@
 		s.inventory.Expect(lm.ID, placement.Place{Type: lm.Type, Zone: lm.Zone, Spot: lm.Spot}, now.Add(-age), now)
 	}
 	// A list lags, and by up to double its usual lag.
-	stuck := s.inventory.Overdue(now, s.bootLimit, 2*s.opts.Settings.ListLag+s.deadAfter())
+	stuck := s.inventory.Overdue(now, s.bootLimit, 2*s.opts.Settings.ListLag+s.detector.DeadAfter())
 	s.returnNamesLocked(failed, "failed")
 	s.returnNamesLocked(stuck, "never came up")
 	s.returnNamesLocked(s.abandonedLocked(), whyCondemned)
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -51,7 +51,7 @@
 // canHandOverLocked tells whether a machine can change to another share: idle,
 // and nothing that this share has sent can still come to it.
 func (s *Scheduler) canHandOverLocked(m *machine, now time.Time) bool {
-	return s.usableLocked(m, now) && m.Idle() && !m.dirty && !m.sending && !m.probing
+	return s.usableLocked(m, now) && m.Idle() && !m.dirty && !m.sending && !m.RequestPending()
 }
 
 // handoverCandidatesLocked returns the machines that can change to another share,
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -9,12 +9,6 @@
 	"heronwick/internal/wait"
 )
 
-const (
-	probeTimeout = 700 * time.Millisecond
-	// deadProbes is how many probes in a row must go unanswered.
-	deadProbes = 3
-)
-
 // drainLocked empties a machine that the cloud will take away, or whose lease
 // will lapse: replicas move at once, and what can save is stopped in time. The
 // rest runs on: it may finish before, and stopping it would lose it anyway.
--- a/internal/scheduler/overloadshed.go
+++ b/internal/scheduler/overloadshed.go
@@ -20,7 +20,7 @@
 // overloadedLocked tells whether this controller was short of processor time
 // lately.
 func (s *Scheduler) overloadedLocked(now time.Time) bool {
-	if s.busy() {
+	if s.detector.Busy(time.Now()) {
 		s.overloaded = now
 	}
 	return now.Sub(s.overloaded) < overloadedFor
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -10,21 +10,6 @@
 	"heronwick/wire"
 )
 
-// answeredLocked notes whether a direct message was answered. Reports that
-// arrive are no proof that anything reaches the worker: one that does not
-// answer gets nothing new.
-func (s *Scheduler) answeredLocked(m *machine, err error) bool {
-	if err == nil {
-		m.unreachableSince, m.unansweredProbes = time.Time{}, 0
-		return true
-	}
-	if m.unreachableSince.IsZero() && !errors.Is(err, fleet.ErrNoSocket) && !s.busy() {
-		m.unreachableSince = time.Now()
-	}
-	s.log.Debug("no answer from worker", "machine", m.Name, "err", err)
-	return false
-}
-
 // HandleHeartbeat takes a worker's report. It returns nil if this share has no right
 // to answer it.
 func (s *Scheduler) HandleHeartbeat(r *wire.Heartbeat) *wire.HeartbeatReply {
@@ -58,12 +43,12 @@
 		return nil
 	}
 	m.LastReply = now
-	m.noteOwnReport(r, fresh, now)
+	m.NoteUnsolicited(r, fresh, now)
 	if !fresh {
 		// Late or repeated: its reply will be dropped, and must not carry
 		// commands meant for the worker as it is now. Or the worker has
 		// started anew and counts from the beginning: asking it tells.
-		if !m.probing && now.Sub(m.probed) > probeTimeout {
+		if !m.ProbedLately(now) {
 			s.probeLocked(m, now)
 		}
 		return reply
@@ -72,16 +57,6 @@
 	return reply
 }
 
-// noteOwnReport notes that a report has come by itself. On a slow link a report that
-// the answer to a later probe has overtaken is no news, but it did come: a worker of
-// which none counts would be taken for one that reaches no controller. A copy of one
-// that has come before does not count.
-func (m *machine) noteOwnReport(r *wire.Heartbeat, fresh bool, now time.Time) {
-	if fresh || r.Incarnation == m.Incarnation && r.Seq > m.lastOwnReportSeq {
-		m.lastOwnReport, m.lastOwnReportSeq = now, r.Seq
-	}
-}
-
 // doubtFor is how long a worker is answered though it has tasks of jobs of which
 // nothing is known.
 func (s *Scheduler) doubtFor() time.Duration { return s.opts.Settings.LeaseFor / 4 }
@@ -140,7 +115,7 @@
 	if !fresh {
 		return false
 	}
-	m.failures = 0
+	m.NoteAlive()
 	if m.Type == nil {
 		m.Type = s.types[m.TypeName]
 	}
--- a/internal/scheduler/returns.go
+++ b/internal/scheduler/returns.go
@@ -60,7 +60,7 @@
 			break
 		}
 		m.returning = true
-		s.log.Info("returning machine", "machine", m.Name, "why", why, "tasks", m.ActiveCount(), "suspect", m.suspect)
+		s.log.Info("returning machine", "machine", m.Name, "why", why, "tasks", m.ActiveCount(), "suspect", m.quarantined)
 	}
 	if len(names) == 0 {
 		return
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -16,6 +16,7 @@
 	"heronwick/internal/cluster/peerpb"
 	"heronwick/internal/completion"
 	"heronwick/internal/config"
+	"heronwick/internal/detector"
 	"heronwick/internal/duty"
 	"heronwick/internal/fleet"
 	"heronwick/internal/job"
@@ -114,31 +115,23 @@
 
 // machine is a machine that the scheduler owns, with its decisions about it.
 type machine struct {
-	*fleet.Machine
-	bucket           *bucket   // where its record is; nil: it has none
-	elsewhere        []*bucket // that still hold a record of it
-	dirty            bool      // it has attempts that are on no record yet
-	due              bool      // its bucket must be written
-	sending          bool      // a direct command is under way
-	sendAgain        bool
-	looked           uint64 // the pass that found the next two
-	usable           bool
-	free             placement.Resources
-	probing          bool
-	probed           time.Time
-	failures         int       // probes without answer since the last sign of life
-	failing          time.Time // when the first of them was sent
-	unreachableSince time.Time // since when no direct message was answered; zero: the last one was
-	unansweredProbes int       // probes without answer since the last direct answer
-	lastOwnReport    time.Time // when its last report came by itself
-	lastOwnReportSeq uint64    // which was that
-	returning        bool
-	condemned        bool      // an owner before has recorded that it is to be returned
-	returnAgain      time.Time // not before then, since the last try was refused
-	suspect          bool      // fails what it starts: no new placements
-	failedJobs       map[string]bool
-	idleSince        time.Time
-	cooling          time.Time // no placements before then
+	detector.Worker
+	bucket      *bucket   // where its record is; nil: it has none
+	elsewhere   []*bucket // that still hold a record of it
+	dirty       bool      // it has attempts that are on no record yet
+	due         bool      // its bucket must be written
+	sending     bool      // a direct command is under way
+	sendAgain   bool
+	looked      uint64 // the pass that found the next two
+	usable      bool
+	free        placement.Resources
+	returning   bool
+	condemned   bool      // an owner before has recorded that it is to be returned
+	returnAgain time.Time // not before then, since the last try was refused
+	quarantined bool      // fails what it starts: no new placements
+	failedJobs  map[string]bool
+	idleSince   time.Time
+	cooling     time.Time // no placements before then
 	// Room that is kept for guests until they ask again: they are not in this
 	// scheduler's queue.
 	reservations []reservation
@@ -166,10 +159,8 @@
 	// division: looking for that takes as long as the fleet is large.
 	epochChecked atomic.Bool
 	summary      atomic.Pointer[summary]
-	// busyUntil is until when the loop's last long delay counts, in Unix nanoseconds.
-	busyUntil atomic.Int64
-	ctx       context.Context
-	group     *errgroup.Group
+	ctx          context.Context
+	group        *errgroup.Group
 
 	mu                sync.Mutex
 	epoch             epochState
@@ -195,6 +186,7 @@
 	syncing           int             // that are being shown it
 	syncRate          *rate.Limiter
 	probeRate         *rate.Limiter
+	detector          *detector.Detector
 	syncWaits         bool // for that
 	list              placement.List[*machine]
 	cycle             schedulingPass
@@ -216,7 +208,6 @@
 	toldAll           time.Time // when the progress of all jobs was last told
 	passes            passTimes // since the load was last logged
 	upkeep            upkeep
-	cut               bool // most workers cannot be reached
 
 	// completions are the buckets of done tasks in the store.
 	completions *completion.Table
@@ -240,6 +231,8 @@
 		bucketKey: s.bucketKey, journalKey: s.journalKey, bucketLimit: s.bucketLimit,
 		owns: func(m *machine) bool { return s.machines[m.Name] == m },
 	}
+	s.detector = detector.New(detector.Settings{HeartbeatInterval: opts.Settings.ReportEvery, LeaseDuration: opts.Settings.LeaseFor,
+		CommandTimeout: commandTimeout, Latency: opts.Latency})
 	s.completions = completion.NewTable(completionScheduler{s}, opts.Settings, s.log)
 	s.syncRate, s.probeRate = syncRate(opts.Settings.CoreShare), probeRate(opts.Settings.CoreShare)
 	for i := range opts.Types {
@@ -273,9 +266,8 @@
 }
 
 func (s *Scheduler) addMachineLocked(fm *fleet.Machine, now time.Time) *machine {
-	m := &machine{Machine: fm, failedJobs: map[string]bool{}, idleSince: now}
+	m := &machine{Worker: detector.NewWorker(fm, now), failedJobs: map[string]bool{}, idleSince: now}
 	m.Type = s.types[m.TypeName]
-	m.LastHeartbeat, m.lastOwnReport = now, now
 	m.base, m.fence = s.epoch.Token, s.epoch.Token
 	m.condemned = s.opts.Actions.Condemned(m.Name)
 	s.machines[m.Name] = m
@@ -354,9 +346,9 @@
 	s.scheduleLocked(time.Now())
 	s.commitLocked()
 	s.placeRemotelyLocked(time.Now())
+	s.detector.NoteDelay(max(locked.Sub(began), time.Since(locked)), time.Now())
 	s.mu.Unlock()
 	took = time.Since(began)
-	s.noteDelay(max(locked.Sub(began), time.Since(locked)))
 	s.passes.add(took)
 	return took
 }
--- a/internal/scheduler/scripted_test.go
+++ b/internal/scheduler/scripted_test.go
@@ -40,6 +40,7 @@
 	items     []wire.Item       // records
 	raised    atomic.Int64      // how often another token was asked for
 	refuse    error             // what writes fail with
+	latency   time.Duration     // of scheduling
 }
 
 func (p *scripted) CurrentEpoch() (cluster.Epoch, wire.Condition) {
@@ -134,6 +135,7 @@
 		Node: "me", Authority: p, Workers: p, Jobs: p, Committer: p, Records: p, PlaceRequests: &remote.RequestHistory{}, Actions: unguarded(),
 		Settings: &config.Settings{ReportEvery: time.Second, LeaseFor: 10 * time.Second, CancelIn: 20 * time.Second, ValueBytes: 16 << 10, TxnOps: 16},
 		Types:    []wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 32, CacheGB: 10, Zones: []string{"z"}}},
+		Latency:  func() time.Duration { return p.latency },
 		Log:      slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
 	s.ctx, s.group = context.Background(), &errgroup.Group{}
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -29,7 +29,7 @@
 	}
 	s.log.Info("load", "jobs", len(s.jobs), "lent", s.remoteAttempts.Len(), "waiting", waiting, "not_ready", notReady, "tasks", tasks, "machines", len(s.machines), "usable", usable,
 		"open", open, "booting", len(s.inventory.Booting()), "cpus", total.CPUs, "free_cpus", free.CPUs, "free_memory_gb", free.MemoryGB,
-		"latency", s.latency(), "passes", s.passes.count, "pass_time", s.passes.total, "longest_pass", s.passes.longest)
+		"latency", s.detector.Latency(), "passes", s.passes.count, "pass_time", s.passes.total, "longest_pass", s.passes.longest)
 	s.passes = passTimes{}
 }
 
@@ -63,7 +63,7 @@
 func (s *Scheduler) summarizeLocked(now time.Time) {
 	idle, total, free := s.statusLocked(now)
 	s.summary.Store(&summary{machines: len(s.machines), idle: idle, cpus: total.CPUs, freeCPUs: free.CPUs,
-		cut: s.cut, overloaded: s.overloadedLocked(now), wants: s.wantsLocked(now)})
+		cut: s.detector.Partitioned(), overloaded: s.overloadedLocked(now), wants: s.wantsLocked(now)})
 }
 
 // Status fills in what the peers are told of the share, as last summarized. It
--- a/internal/scheduler/takeover.go
+++ b/internal/scheduler/takeover.go
@@ -47,7 +47,7 @@
 func (s *Scheduler) syncNextLocked() {
 	for s.syncing < maxSyncs && len(s.unsynced) > 0 {
 		m := s.unsynced[0]
-		if m.Address == "" || m.probing || s.machines[m.Name] != m || s.synced(m) {
+		if m.Address == "" || m.RequestPending() || s.machines[m.Name] != m || s.synced(m) {
 			s.unsynced = s.unsynced[1:]
 			continue
 		}
@@ -59,7 +59,7 @@
 			return
 		}
 		s.unsynced = s.unsynced[1:]
-		m.probing = true
+		m.BeginRequest()
 		s.syncing++
 		address := m.Address
 		req := &wire.CommandRequest{FencingToken: s.opts.Authority.Token(), Incarnation: m.Incarnation, Commands: []wire.Command{}}
@@ -67,7 +67,7 @@
 			report, err := s.command(ctx, address, req)
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			m.probing = false
+			m.EndRequest()
 			s.syncing--
 			if s.answeredLocked(m, err) {
 				s.applyLocked(m, report)
