--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -27,7 +27,7 @@
 			notReady++
 		}
 	}
-	s.log.Info("load", "jobs", len(s.jobs), "lent", s.remoteAttempts.Len(), "waiting", waiting, "not_ready", notReady, "tasks", tasks, "machines", len(s.machines), "usable", usable,
+	s.log.Info("load", "jobs", len(s.jobs), "remote", s.remoteAttempts.Len(), "waiting", waiting, "not_ready", notReady, "tasks", tasks, "machines", len(s.machines), "usable", usable,
 		"open", open, "booting", len(s.inventory.Booting()), "cpus", total.CPUs, "free_cpus", free.CPUs, "free_memory_gb", free.MemoryGB,
 		"latency", s.detector.Latency(), "passes", s.passes.count, "pass_time", s.passes.total, "longest_pass", s.passes.longest)
 	s.passes = passTimes{}
