--- /dev/null
+++ b/internal/checkpoint/doc.go
@@ -0,0 +1,3 @@
+// Package checkpoint records what may be on the machines of a scheduler in the
+// consensus-backed key-value store.
+package checkpoint
--- a/internal/scheduler/buckets.go
+++ b/internal/scheduler/buckets.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"errors"
 	"slices"
 	"time"
 
@@ -9,50 +8,11 @@
 	"heronwick/internal/state"
 )
 
-// valueSlack is left free of what a value may hold, for what it holds beside
-// records: its syntax, a write's mark, a transfer's new owner.
-const valueSlack = 256
-
-// leastValueLimit is the least that records in one value are cut down to.
-const leastValueLimit = 512
-
-// valueLimit is how many bytes the records in one value may take.
-func (s *Scheduler) valueLimit() int {
-	return max(leastValueLimit, s.opts.Settings.ValueBytes-valueSlack-s.valuesCut)
-}
-
-// noteRejectedLocked makes values smaller if the state service has rejected one:
-// its limits are lower than the settings say.
-func (s *Scheduler) noteRejectedLocked(err error) {
-	if !errors.Is(err, state.ErrRejected) {
-		return
-	}
-	s.log.Error("the state service rejects a value: smaller ones from now on", "limit", s.valueLimit(), "err", err)
-	s.valuesCut += s.valueLimit() / 4
-}
-
-const (
-	// imagesPart is which part of a value the images of one machine may take.
-	imagesPart = 8
-	// longestAttempt and longestRecord are what an attempt and a machine's record
-	// without attempts and images take at most, with names of a usual length.
-	longestAttempt = 56
-	longestRecord  = 256
-	// leastAttempts is how many attempts a machine may have however small values are.
-	leastAttempts = 4
-)
-
-// maxAttempts keeps a machine's record within the size of a value.
-func (s *Scheduler) maxAttempts() int {
-	limit := s.valueLimit()
-	return max(leastAttempts, (limit-limit/imagesPart-longestRecord)/longestAttempt)
-}
-
 // recordLocked returns what a bucket holds of a machine, without the attempts that
 // are left out.
 func (s *Scheduler) recordLocked(m *machine, leaveOut func(*fleet.Attempt) bool) fleet.Record {
 	r := m.Record(leaveOut)
-	r.KeepImages(s.valueLimit() / imagesPart)
+	r.KeepImages(s.valueLimit.ImageBytes())
 	return r
 }
 
--- a/internal/scheduler/bucketwrite.go
+++ b/internal/scheduler/bucketwrite.go
@@ -141,7 +141,7 @@
 // written at once. Until then the bucket keeps its records of them, and if with
 // those it does not fit a value, it is not written.
 func (s *Scheduler) splitBucketLocked(p *bucket, priority state.Priority) {
-	limit := s.valueLimit()
+	limit := s.valueLimit.Bytes()
 	size := 0
 	for name, r := range p.leftover {
 		if !p.machines[name] {
@@ -182,7 +182,7 @@
 	size := 0
 	for i, name := range names {
 		m := s.machines[name]
-		if size += s.recordSizeLocked(m); i > 0 && size > s.valueLimit() {
+		if size += s.recordSizeLocked(m); i > 0 && size > s.valueLimit.Bytes() {
 			others = names[i:]
 			break
 		}
@@ -334,7 +334,7 @@
 	for m := range pw.attempts {
 		m.dirty = true
 	}
-	s.noteRejectedLocked(err)
+	s.valueLimit.NoteRejected(err)
 	var conflict *state.Conflict
 	if !errors.As(err, &conflict) {
 		return
--- a/internal/scheduler/done.go
+++ b/internal/scheduler/done.go
@@ -30,7 +30,7 @@
 }
 
 // ValueLimit implements completion.Scheduler.
-func (s completionScheduler) ValueLimit() int { return s.valueLimit() }
+func (s completionScheduler) ValueLimit() int { return s.valueLimit.Bytes() }
 
 // WriteMark implements completion.Scheduler.
 func (s completionScheduler) WriteMark() string { return s.markLocked() }
@@ -58,7 +58,7 @@
 }
 
 // NoteRejected implements completion.Scheduler.
-func (s completionScheduler) NoteRejected(err error) { s.noteRejectedLocked(err) }
+func (s completionScheduler) NoteRejected(err error) { s.valueLimit.NoteRejected(err) }
 
 // completionOf returns which tasks of one of the scheduler's own jobs are done,
 // nil if the job is none.
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -79,7 +79,7 @@
 		for len(machines) > 0 {
 			m := machines[0]
 			handover := m.TransferRecord()
-			handover.KeepImages(s.valueLimit() / imagesPartOfTransfer)
+			handover.KeepImages(s.valueLimit.Bytes() / imagesPartOfTransfer)
 			value, err := json.Marshal(handover)
 			if err != nil {
 				s.log.Error("encoding a machine", "machine", m.Name, "err", err)
@@ -87,7 +87,7 @@
 				continue
 			}
 			size += len(value) + len(m.Name) + 8
-			if len(batch) > 0 && size > s.valueLimit() {
+			if len(batch) > 0 && size > s.valueLimit.Bytes() {
 				break
 			}
 			machines = machines[1:]
--- a/internal/scheduler/journal.go
+++ b/internal/scheduler/journal.go
@@ -76,7 +76,7 @@
 // as it has room for them, and those that it alone holds. It returns false if
 // none can be written now.
 func (s *Scheduler) writeJournalLocked(dirty []*machine) bool {
-	limit := s.valueLimit()
+	limit := s.valueLimit.Bytes()
 	journal := s.nextJournalLocked(limit)
 	if journal == nil || journal.committing {
 		return false
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -44,7 +44,7 @@
 		return
 	}
 	s.notices.sending = true
-	names := s.notices.batch(s.valueLimit())
+	names := s.notices.batch(s.valueLimit.Bytes())
 	machines := map[string]json.RawMessage{}
 	for _, name := range names {
 		machines[name] = json.RawMessage("null")
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -250,7 +250,7 @@
 	if js.FailedOn[m.Name] && !js.FailsEverywhere() {
 		return false
 	}
-	return m.Attempts.Len() < s.maxAttempts()
+	return m.Attempts.Len() < s.valueLimit.MaxAttempts()
 }
 
 // placeLocked books a task on a machine. The attempt's number rises with each
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -12,6 +12,7 @@
 	"golang.org/x/time/rate"
 
 	"heronwick/internal/autoscale"
+	"heronwick/internal/checkpoint"
 	"heronwick/internal/cluster"
 	"heronwick/internal/cluster/peerpb"
 	"heronwick/internal/completion"
@@ -177,10 +178,10 @@
 	denied            remote.DeniedAttempts // hosted here never more
 	machines          map[string]*machine
 	records           *recordTable
-	journaled         time.Time       // when one may next be written
-	journalDue        bool            // and it waits to be written again
-	consolidating     int             // buckets that are written only to gather what several hold
-	valuesCut         int             // bytes by which values are smaller than the settings allow
+	journaled         time.Time // when one may next be written
+	journalDue        bool      // and it waits to be written again
+	consolidating     int       // buckets that are written only to gather what several hold
+	valueLimit        *checkpoint.ValueLimit
 	moving            map[string]bool // machines whose owner is being written
 	unsynced          []*machine      // whose workers are to be shown the token
 	syncing           int             // that are being shown it
@@ -225,6 +226,7 @@
 		hostedJobs: map[string]*jobState{}, remoteAttempts: remote.NewAttempts(),
 		moving: map[string]bool{},
 	}
+	s.valueLimit = checkpoint.NewValueLimit(opts.Settings, opts.Log)
 	s.planner = &autoscale.Planner{Types: s.types, Inventory: s.inventory}
 	s.records = &recordTable{
 		buckets: map[string]*bucket{}, scattered: map[*machine]bool{},
