--- a/cmd/heronwick/dutiescommand.go
+++ b/cmd/heronwick/dutiescommand.go
@@ -16,7 +16,8 @@
 	"heronwick/wire"
 )
 
-// dutiesCommand looks at the single duties of running controllers.
+// dutiesCommand groups the operator's commands for the single duties of running
+// controllers.
 type dutiesCommand struct {
 	List     listCommand     `cmd:"" help:"List duties, their holders and open intents, as one controller knows them."`
 	Report   reportCommand   `cmd:"" help:"Turn the recorded history of actions into an archive (Parquet) and a page with plots."`
@@ -27,8 +28,9 @@
 // operatorTimeout is how long an operator's command waits for a controller.
 const operatorTimeout = 5 * time.Second
 
-// ask sends a request to a controller at HOST:PORT and reads its answer.
-func ask(method, address, path string, answer any) error {
+// callController sends a request to the controller at address, HOST:PORT, and
+// decodes the JSON of its response into response.
+func callController(method, address, path string, response any) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -40,7 +42,7 @@
 	if resp.StatusCode() != fasthttp.StatusOK {
 		return fmt.Errorf("%s answered %d: %.300s", address, resp.StatusCode(), resp.Body())
 	}
-	if err := json.Unmarshal(resp.Body(), answer); err != nil {
+	if err := json.Unmarshal(resp.Body(), response); err != nil {
 		return fmt.Errorf("reading the answer of %s: %w", address, err)
 	}
 	return nil
@@ -54,25 +56,25 @@
 // Run implements kong's interface of a command.
 func (l *listCommand) Run() error {
 	var duties wire.Duties
-	if err := ask("GET", l.From, wire.PathDuties, &duties); err != nil {
+	if err := callController(fasthttp.MethodGet, l.From, wire.PathDuties, &duties); err != nil {
 		return err
 	}
 	fmt.Printf("%s: single duties are active: %v, lease %gs\n", duties.Node, duties.Active, duties.LeaseS)
-	for _, d := range duties.Duties {
-		holder := d.Holder
+	for _, held := range duties.Duties {
+		holder := held.Holder
 		switch {
-		case d.Corrupt:
+		case held.Corrupt:
 			holder = "(its record cannot be read)"
 		case holder == "":
 			holder = "(nobody)"
 		}
-		fmt.Printf("%-24s token %-10d %s\n", d.ID, d.Token, holder)
+		fmt.Printf("%-24s token %-10d %s\n", held.ID, held.Token, holder)
 	}
-	for _, c := range duties.Returns {
-		fmt.Printf("condemned under token %d, %s: %s\n", c.Token, c.Reason, strings.Join(c.Machines, " "))
+	for _, intent := range duties.Returns {
+		fmt.Printf("condemned under token %d, %s: %s\n", intent.Token, intent.Reason, strings.Join(intent.Machines, " "))
 	}
-	for _, r := range duties.Rentals {
-		fmt.Printf("renting under token %d: %s\n", r.Token, strings.Join(r.Requests, " "))
+	for _, intent := range duties.Rentals {
+		fmt.Printf("renting under token %d: %s\n", intent.Token, strings.Join(intent.Requests, " "))
 	}
 	return nil
 }
@@ -95,15 +97,16 @@
 // Run implements kong's interface of a command.
 func (c *clearCommand) Run() error { return changeDuty(c.At, wire.PathClear, c.Duty) }
 
-// changeDuty asks a controller to do something about a duty.
+// changeDuty has a controller change a duty by a POST to path. The error is a
+// usageError if id is not of the form NAME/SCOPE.
 func changeDuty(address, path, id string) error {
 	if _, err := duty.ParseID(id); err != nil {
-		return settingsError{err}
+		return usageError{err}
 	}
-	return ask("POST", address, path+"?duty="+url.QueryEscape(id), &struct{}{})
+	return callController(fasthttp.MethodPost, address, path+"?duty="+url.QueryEscape(id), &struct{}{})
 }
 
-// reportCommand turns the history of actions into an archive and a page.
+// reportCommand turns the recorded history of actions into an archive and a page.
 type reportCommand struct {
 	From    []string `help:"Addresses of controllers whose history is read." placeholder:"HOST:PORT"`
 	Read    string   `help:"Archive to read instead." type:"path" placeholder:"FILE"`
@@ -143,6 +146,7 @@
 	return errors.Join(dutyreport.WritePage(file, events), file.Close())
 }
 
+// events reads the history from the controllers or from an archive.
 func (r *reportCommand) events() ([]wire.DutyEvent, error) {
 	if r.Read != "" {
 		return dutyreport.ReadArchive(r.Read)
@@ -150,7 +154,7 @@
 	var events []wire.DutyEvent
 	for _, address := range r.From {
 		var duties wire.Duties
-		if err := ask("GET", address, wire.PathDuties, &duties); err != nil {
+		if err := callController(fasthttp.MethodGet, address, wire.PathDuties, &duties); err != nil {
 			return nil, err
 		}
 		events = append(events, duties.Events...)
--- /dev/null
+++ b/cmd/heronwick/httpserver.go
@@ -0,0 +1,60 @@
+package main
+
+import (
+	"time"
+
+	"heronwick/internal/server"
+	"heronwick/wire"
+)
+
+// newServer makes the HTTP interface of a controller whose other parts are there.
+func newServer(c *controller) *server.Server {
+	return server.New(server.Options{
+		Settings:          c.settings,
+		Jobs:              c.jobs,
+		MachineTypes:      c.machineTypes.Types,
+		HandleHeartbeat:   c.handleWorkerHeartbeat,
+		Ready:             c.ready,
+		SchedulingLatency: func() time.Duration { return c.latency() },
+		DependencyGraphs:  func() []wire.DAG { return c.jobs.DependencyGraphs(time.Now()) },
+		DutyReport:        c.duties.keeper.Report,
+		HandOverDuty:      c.handOverDuty,
+		ClearDuty:         c.clearDuty,
+		Gauges:            c.gauges(),
+		Log:               c.log,
+	})
+}
+
+// handleWorkerHeartbeat returns the reply to a worker's heartbeat if this
+// controller may reply, and else the node that may, empty if none is known.
+func (c *controller) handleWorkerHeartbeat(heartbeat *wire.Heartbeat) (reply *wire.HeartbeatReply, redirect string) {
+	if s := c.scheduler.Load(); s != nil {
+		if reply := s.HandleHeartbeat(heartbeat); reply != nil {
+			return reply, ""
+		}
+	}
+	target, _ := c.members.HeartbeatTarget(heartbeat.Machine)
+	if target == c.settings.Node {
+		return nil, ""
+	}
+	c.members.NoteWorkerHeartbeat(heartbeat.Machine)
+	return nil, target
+}
+
+// stateSilence is how long the key-value store may be silent before a controller
+// takes it for unreachable.
+const stateSilence = 3 * time.Second
+
+// ready tells whether this controller can take requests. In an outage of the
+// key-value store all controllers stay ready, since being removed costs more than
+// the outage; one that alone cannot reach it does not. Nor does one that hears no
+// other and is no member: it can confirm no cancellation, while others can.
+func (c *controller) ready() bool {
+	if !c.jobs.Ready() || c.machineTypes.Types() == nil {
+		return false
+	}
+	if c.transport.Healthy(stateSilence) {
+		return !c.members.Isolated()
+	}
+	return c.members.PeersAlive() > 0 && len(c.members.StatePeers()) == 0
+}
--- /dev/null
+++ b/cmd/heronwick/metrics.go
@@ -0,0 +1,82 @@
+package main
+
+import (
+	"heronwick/internal/cluster/peerpb"
+	"heronwick/internal/duty"
+	"heronwick/internal/server"
+)
+
+// gauges returns the metrics of a controller.
+func (c *controller) gauges() []server.Gauge {
+	gauges := c.duties.gauges()
+	gauges = append(gauges, c.schedulerGauges()...)
+	gauges = append(gauges, c.membershipGauges()...)
+	return append(gauges, c.dagMonitor.gauges()...)
+}
+
+// schedulerGauges returns the metrics of the machines that the scheduler owns.
+func (c *controller) schedulerGauges() []server.Gauge {
+	fromStatus := func(value func(*peerpb.Status) float64) func() float64 {
+		return func() float64 {
+			var status peerpb.Status
+			c.fillStatus(&status)
+			return value(&status)
+		}
+	}
+	return []server.Gauge{
+		{Name: "heronwick_share_machines", Help: "Machines of this controller's share.",
+			Value: fromStatus(func(s *peerpb.Status) float64 { return float64(s.Machines) })},
+		{Name: "heronwick_share_idle_machines", Help: "Usable machines of the share without tasks.",
+			Value: fromStatus(func(s *peerpb.Status) float64 { return float64(s.Idle) })},
+		{Name: "heronwick_share_cpus", Help: "CPUs of the share's usable machines.",
+			Value: fromStatus(func(s *peerpb.Status) float64 { return s.Cpus })},
+		{Name: "heronwick_share_free_cpus", Help: "Free CPUs of the share's usable machines.",
+			Value: fromStatus(func(s *peerpb.Status) float64 { return s.FreeCpus })},
+	}
+}
+
+// membershipGauges returns the metrics of this controller's part in the cluster.
+func (c *controller) membershipGauges() []server.Gauge {
+	return []server.Gauge{
+		{Name: "heronwick_token", Help: "Token of the epoch that this controller knows.",
+			Value: func() float64 { return float64(c.members.Token()) }},
+		{Name: "heronwick_feature_level", Help: "What all controllers support, as recorded; 1: jobs may need others.",
+			Value: func() float64 { return float64(c.members.FeatureLevel()) }},
+		{Name: "heronwick_permitted", Help: "1 while this controller may answer workers.",
+			Value: func() float64 {
+				if c.members.CanAnswerHeartbeats() {
+					return 1
+				}
+				return 0
+			}},
+	}
+}
+
+// gauges returns the metrics of the dependency graphs of jobs.
+func (m *dagMonitor) gauges() []server.Gauge {
+	return []server.Gauge{
+		{Name: "heronwick_chains", Help: "Chains of jobs that are live.",
+			Value: func() float64 { return float64(m.live.Load()) }},
+		{Name: "heronwick_chains_in_danger", Help: "Live chains whose last job misses its deadline by estimates.",
+			Value: func() float64 { return float64(m.inDanger.Load()) }},
+		{Name: "heronwick_chains_endangered", Help: "Chains that have come into danger since this controller started, of those whose last job is its own.",
+			Value: func() float64 { return float64(m.endangered.Load()) }},
+	}
+}
+
+// gauges returns the metrics of the single duties.
+func (d duties) gauges() []server.Gauge {
+	gauges := []server.Gauge{
+		{Name: "heronwick_duty_held", Help: "Single duties that this controller may act for.",
+			Value: func() float64 { return float64(d.keeper.Held()) }},
+		{Name: "heronwick_duty_open_condemnations", Help: "Intents to return machines that are not closed, of all controllers.",
+			Value: func() float64 { returns, _ := d.ledger.OpenIntents(); return float64(returns) }},
+		{Name: "heronwick_duty_open_rentals", Help: "Intents to rent that are not closed, of all controllers.",
+			Value: func() float64 { _, rentals := d.ledger.OpenIntents(); return float64(rentals) }},
+	}
+	for _, kind := range duty.Kinds() {
+		gauges = append(gauges, server.Gauge{Name: "heronwick_duty_" + string(kind), Help: "Events of this kind at this controller since it started; see the operators' page.",
+			Value: func() float64 { return float64(d.history.Count(kind)) }})
+	}
+	return gauges
+}
