--- a/internal/cluster/epoch.go
+++ b/internal/cluster/epoch.go
@@ -3,43 +3,25 @@
 import (
 	"encoding/json"
 	"hash/fnv"
+	"maps"
 	"math"
 	"strings"
 )
 
-// Epoch says who commands workers, and under which token.
+// Epoch says which controllers may command workers, and under which fencing
+// token.
 type Epoch struct {
 	Token       uint64 `json:"token"`
 	Leader      string `json:"leader"`
-	Incarnation uint64 `json:"incarnation"`
+	Incarnation uint64 `json:"incarnation"` // of the leader
 	// Members are the controllers that schedule, by node.
 	Members map[string]Member `json:"members"`
-	// Teams says which member owns each team. A job whose team is not listed
+	// Teams holds the member that owns each team. A job whose team is not listed
 	// belongs to the member that its id hashes to.
 	Teams map[string]string `json:"teams"`
 }
 
-// largestEpoch is how many bytes the epoch takes at most with these controllers and
-// teams. It is one value, so the state service's limits bound how many there may be.
-func largestEpoch(nodes, teams []string) int {
-	longest := ""
-	members := map[string]Member{}
-	for _, node := range nodes {
-		members[node] = Member{Incarnation: math.MaxUint64, Since: math.MaxUint64}
-		longest = strings.Repeat("x", max(len(longest), len(node)))
-	}
-	owners := map[string]string{}
-	for _, team := range teams {
-		owners[team] = longest
-	}
-	value, err := json.Marshal(Epoch{Token: math.MaxUint64, Leader: longest, Incarnation: math.MaxUint64, Members: members, Teams: owners})
-	if err != nil {
-		panic(err) // an Epoch holds nothing that cannot be encoded
-	}
-	return len(value)
-}
-
-// Member is a controller that schedules. One that comes back, as the same
+// Member is a controller that schedules. One that joins again, in the same
 // incarnation or another, has another Since and owns nothing of what it had.
 type Member struct {
 	Incarnation uint64 `json:"incarnation"`
@@ -51,6 +33,12 @@
 	if node, ok := e.Teams[team]; ok {
 		return node
 	}
+	return e.rendezvous(job)
+}
+
+// rendezvous returns the member with the highest hash for a job (rendezvous
+// hashing): it changes for few jobs when members come or go.
+func (e *Epoch) rendezvous(job string) string {
 	best, highest := "", uint64(0)
 	for node := range e.Members {
 		h := fnv.New64a()
@@ -61,3 +49,38 @@
 	}
 	return best
 }
+
+// next returns a copy of the epoch with the next token.
+func (e *Epoch) next() Epoch {
+	next := *e
+	next.Token++
+	next.Members, next.Teams = maps.Clone(e.Members), maps.Clone(e.Teams)
+	if next.Members == nil {
+		next.Members = map[string]Member{}
+	}
+	if next.Teams == nil {
+		next.Teams = map[string]string{}
+	}
+	return next
+}
+
+// largestEpoch returns how many bytes the epoch takes at most with these
+// controllers and teams. It is one value, so the store's limits bound how many
+// there may be.
+func largestEpoch(nodes, teams []string) int {
+	longest := ""
+	members := map[string]Member{}
+	for _, node := range nodes {
+		members[node] = Member{Incarnation: math.MaxUint64, Since: math.MaxUint64}
+		longest = strings.Repeat("x", max(len(longest), len(node)))
+	}
+	owners := map[string]string{}
+	for _, team := range teams {
+		owners[team] = longest
+	}
+	value, err := json.Marshal(Epoch{Token: math.MaxUint64, Leader: longest, Incarnation: math.MaxUint64, Members: members, Teams: owners})
+	if err != nil {
+		panic(err) // an Epoch holds nothing that cannot be encoded
+	}
+	return len(value)
+}
--- /dev/null
+++ b/internal/cluster/fakes_test.go
@@ -0,0 +1,121 @@
+package cluster
+
+import (
+	"context"
+	"slices"
+	"sync"
+
+	"heronwick/internal/cluster/peerpb"
+	"heronwick/internal/job"
+	"heronwick/internal/state"
+)
+
+// scriptedPeer answers heartbeats with a scripted status; without one it does not
+// answer.
+type scriptedPeer struct {
+	mu        sync.Mutex
+	status    *peerpb.Status
+	cancelled []*peerpb.Cancelled // what it was sent
+}
+
+func (p *scriptedPeer) Heartbeat(context.Context, *peerpb.Status) (*peerpb.Status, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.status == nil {
+		return nil, context.DeadlineExceeded
+	}
+	return p.status, nil
+}
+
+func (p *scriptedPeer) ReplicateCancellations(_ context.Context, req *peerpb.TellRequest) (*peerpb.TellReply, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.status == nil {
+		return nil, context.DeadlineExceeded
+	}
+	p.cancelled = append(p.cancelled, req.Cancelled...)
+	return &peerpb.TellReply{}, nil
+}
+
+// setStatus sets the epoch token that the peer knows and whether it is ready.
+func (p *scriptedPeer) setStatus(token uint64, ready bool) {
+	p.change(func(s *peerpb.Status) { s.Token, s.Ready = token, ready })
+}
+
+// change changes what the peer answers from now on.
+func (p *scriptedPeer) change(f func(*peerpb.Status)) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	status := &peerpb.Status{Incarnation: 7, JobsRead: true, JobsBase: 1, JobsRevision: 1}
+	if p.status != nil {
+		status.Token, status.Ready = p.status.Token, p.status.Ready
+		status.JobsRead, status.JobsBase, status.JobsRevision = p.status.JobsRead, p.status.JobsBase, p.status.JobsRevision
+		status.Cancelled = p.status.Cancelled
+	}
+	f(status)
+	p.status = status
+}
+
+// received returns the cancellations that the peer was sent.
+func (p *scriptedPeer) received() []*peerpb.Cancelled {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return slices.Clone(p.cancelled)
+}
+
+// silence makes the peer answer nothing more.
+func (p *scriptedPeer) silence() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.status = nil
+}
+
+// fakeCancellations is what the controller under test knows of cancellations.
+type fakeCancellations struct {
+	mu       sync.Mutex
+	revision uint64
+	applied  []job.Cancellation
+	client   *state.Client
+	failing  bool // SyncToRevision fails
+}
+
+func (f *fakeCancellations) KnownCancellations(after uint64) job.CancellationState {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	known := job.CancellationState{Loaded: true, Revision: f.revision}
+	for _, cancellation := range f.applied {
+		if cancellation.Revision > after {
+			known.Recent = append(known.Recent, cancellation)
+		}
+	}
+	return known
+}
+
+func (f *fakeCancellations) ApplyCancellations(cancelled []job.Cancellation) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.applied = append(f.applied, cancelled...)
+}
+
+// setFailing makes the jobs unreadable, or readable again.
+func (f *fakeCancellations) setFailing(failing bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.failing = failing
+}
+
+func (f *fakeCancellations) SyncToRevision(ctx context.Context, revision uint64) error {
+	f.mu.Lock()
+	failing := f.failing
+	f.mu.Unlock()
+	if failing {
+		return context.DeadlineExceeded
+	}
+	if _, err := f.client.Watch(ctx, "jobs/", 0, 0); err != nil {
+		return err
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.revision = max(f.revision, revision)
+	return nil
+}
--- a/internal/cluster/features.go
+++ b/internal/cluster/features.go
@@ -8,29 +8,27 @@
 	"heronwick/wire"
 )
 
-// Old and new versions serve side by side while an upgrade goes on. What the
-// older one could not use safely begins only once every configured controller
-// has been seen with the newer, and that is in the store: from then on none is
-// ever started with the older one again.
-
-// FeatureLevel says what a version supports; a deployment has the level that was
-// last recorded.
+// FeatureLevel says what a version of the software supports. Old and new versions
+// serve side by side during an upgrade. A feature that the older one could not
+// handle safely is used only once every configured controller has been seen with
+// the newer one and that is recorded in the store: from then on none is ever
+// started with the older version again.
 type FeatureLevel uint32
 
 // The feature levels.
 const (
-	// LevelNone is that of the version before levels were told.
+	// LevelNone is the level of versions that report none.
 	LevelNone FeatureLevel = iota
-	// LevelDependencies: jobs may need others.
+	// LevelDependencies: jobs may depend on others.
 	LevelDependencies
-	// LevelDuties: machines are condemned before they are returned, and rentals are
-	// recorded before they are asked for.
+	// LevelDuties: returns and rentals of machines are recorded as intents before
+	// they are requested.
 	LevelDuties
 
-	supportedLevel = LevelDuties
+	supportedLevel = LevelDuties // by this version
 )
 
-// featuresKey holds the recorded level. The version before levels passes it over.
+// featuresKey holds the recorded level. Versions without levels ignore it.
 const featuresKey = prefix + "features"
 
 // featuresRecord is the value of featuresKey.
@@ -38,36 +36,38 @@
 	Level FeatureLevel `json:"level"`
 }
 
-// features is the recorded level, as far as this controller knows.
+// features is the recorded level, as far as this controller has seen.
 type features struct {
 	level   FeatureLevel
 	version uint64 // of the key; 0: there is none
 }
 
-// Supports tells whether the deployment has the level, which is for ever.
+// Supports reports whether the deployment has the level. Once it has, it always
+// will.
 func (c *Cluster) Supports(level FeatureLevel) bool { return c.FeatureLevel() >= level }
 
-// FeatureLevel is the deployment's level.
+// FeatureLevel returns the deployment's recorded level.
 func (c *Cluster) FeatureLevel() FeatureLevel {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.features.level
 }
 
+// applyFeaturesLocked applies the value of featuresKey.
 func (c *Cluster) applyFeaturesLocked(value json.RawMessage, version uint64) {
-	var r featuresRecord
-	if json.Unmarshal(value, &r) != nil || version <= c.features.version {
+	var record featuresRecord
+	if json.Unmarshal(value, &record) != nil || version <= c.features.version {
 		return
 	}
-	if r.Level > c.features.level {
-		c.opts.Log.Info("feature level", "level", r.Level)
+	if record.Level > c.features.level {
+		c.opts.Log.Info("feature level", "level", record.Level)
 	}
-	c.features = features{level: max(c.features.level, r.Level), version: version}
+	c.features = features{level: max(c.features.level, record.Level), version: version}
 }
 
-// commonLevelLocked is the highest level that all controllers are known to
-// support. One that has not been heard since this controller started may be of
-// any version.
+// commonLevelLocked returns the highest level that all controllers are known to
+// support. One that has not been heard from since this controller started may be
+// of any version.
 func (c *Cluster) commonLevelLocked() FeatureLevel {
 	common := supportedLevel
 	for _, p := range c.peers {
@@ -77,7 +77,7 @@
 }
 
 // raiseLevel records the level that all controllers support, if it is higher than
-// the recorded one. Only the leader does.
+// the recorded one. Only the leader calls it.
 func (c *Cluster) raiseLevel(ctx context.Context) {
 	c.mu.Lock()
 	recorded, common := c.features, c.commonLevelLocked()
@@ -95,7 +95,7 @@
 	})
 	if err != nil {
 		c.opts.Log.Info("recording the feature level failed", "level", common, "err", err)
-		return // the watch tells what stands, and the next round tries again
+		return // the watch brings what is recorded, and the next round tries again
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/fencing.go
+++ b/internal/cluster/fencing.go
@@ -1,16 +1,21 @@
 package cluster
 
-import (
-	"slices"
-	"time"
-)
+import "time"
 
-// fence collects, for the current epoch, the acknowledgements that show that
-// no controller answers heartbeats under an older one.
+// maxFenceRecords bounds the proofs that are kept, so that a machine taken under
+// an older epoch keeps its earlier date.
+const maxFenceRecords = 64
+
+// clockDrift bounds how far the clocks of two machines drift apart within d: twice
+// the 0.05% that is to be expected.
+func clockDrift(d time.Duration) time.Duration { return d / 1000 }
+
+// fence collects, for the current epoch, the acknowledgements that show that no
+// controller answers heartbeats under an older one.
 type fence struct {
 	acked      map[string]bool // peers that know this epoch
-	majorityAt time.Time
-	allAt      time.Time
+	majorityAt time.Time       // when a majority knew it, this controller included
+	allAt      time.Time       // when all knew it
 }
 
 // fenceRecord says that from at on, no controller answers heartbeats under an
@@ -20,76 +25,23 @@
 	at    time.Time
 }
 
-// minConfirmationTTL is the shortest confirmation TTL: a few heartbeat intervals.
-const minConfirmationTTL = 2500 * time.Millisecond
-
-// leaseExpirySlack is how long after its lease expiry a worker has surely
-// ended its tasks: its clock drifts, and it checks the lease periodically.
-func leaseExpirySlack(lease time.Duration) time.Duration { return lease/1000 + 500*time.Millisecond }
-
-// confirmationTTLFor is how long a controller may answer heartbeats after one
-// confirmation that its epoch is current: a quarter of a worker lease, and no
-// longer than leaves time for a lease expiry before a cancelled job's tasks
-// must be gone. fits is false if the settings leave no such time.
-func confirmationTTLFor(lease, cancelIn time.Duration) (ttl time.Duration, fits bool) {
-	ttl = lease / 4
-	room := cancelIn - lease - leaseExpirySlack(lease)
-	if room < min(ttl, minConfirmationTTL) {
-		return min(ttl, minConfirmationTTL), false
-	}
-	return min(ttl, room), true
-}
-
-// CanAnswerHeartbeats tells whether this controller may answer workers'
-// heartbeats now: it is a member, and a confirmation that its epoch is current
-// was asked for within the confirmation TTL. Without the bound, a controller cut off from everything but some
-// workers would renew their leases for ever, and nobody could ever count them
-// as expired.
-func (c *Cluster) CanAnswerHeartbeats() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.canAnswerHeartbeatsLocked()
-}
-
-func (c *Cluster) canAnswerHeartbeatsLocked() bool {
-	return c.memberLocked() && time.Since(c.confirmed) < c.confirmationTTL
-}
-
-// Membership is the cluster as seen by the scheduler of one membership. A
-// scheduler whose membership is over may take long to end, and meanwhile its
-// controller may be a member again, under a newer token: what the old
-// scheduler knows is no longer current.
-type Membership struct {
-	*Cluster
-	since uint64
-}
-
-// FencingToken returns the fencing token of the current epoch, and whether the
-// scheduler of this membership may answer workers' heartbeats and command them
-// now: both as of the same moment.
-func (m *Membership) FencingToken() (token uint64, ok bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.epoch.Token, m.canAnswerHeartbeatsLocked() && m.epoch.Members[m.opts.Node].Since == m.since
-}
-
 // FencedSince returns since when surely no controller has answered a worker under
 // an epoch older than token, if that is proven. See docs/design.md, "Fencing".
-func (c *Cluster) FencedSince(token uint64) (time.Time, bool) {
+func (c *Cluster) FencedSince(token uint64) (since time.Time, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.noteFenceLocked()
-	for _, p := range c.fenceRecords {
-		if p.token >= token {
-			return p.at, true
+	c.recordFenceLocked()
+	for _, record := range c.fenceRecords {
+		if record.token >= token {
+			return record.at, true
 		}
 	}
 	return time.Time{}, false
 }
 
-// noteAckLocked counts a peer that knows the current epoch: it will neither
+// recordAckLocked counts a peer that knows the current epoch: it will neither
 // answer workers under an older one nor confirm one.
-func (c *Cluster) noteAckLocked(p *peer) {
+func (c *Cluster) recordAckLocked(p *peer) {
 	if !c.memberLocked() || p.token < c.epoch.Token {
 		return
 	}
@@ -97,62 +49,53 @@
 		c.fence.acked = map[string]bool{}
 	}
 	c.fence.acked[p.node] = true
-	c.noteFenceLocked()
+	c.recordFenceLocked()
 }
 
-func (c *Cluster) noteFenceLocked() {
-	if !c.memberLocked() || len(c.fenceRecords) > 0 && c.fenceRecords[len(c.fenceRecords)-1].token >= c.epoch.Token {
+// recordFenceLocked records the proof for the current epoch once it is complete.
+// Proof for one epoch is proof for all older ones.
+func (c *Cluster) recordFenceLocked() {
+	if !c.memberLocked() || c.fenceProvenLocked() {
 		return
 	}
 	now := time.Now()
-	if c.fence.majorityAt.IsZero() && 2*(len(c.fence.acked)+1) > len(c.peers)+1 {
-		c.fence.majorityAt = now
-	}
-	if c.fence.allAt.IsZero() && len(c.fence.acked) == len(c.peers) {
-		c.fence.allAt = now
-	}
-	at := c.fence.allAt
-	if !c.fence.majorityAt.IsZero() {
-		// Clocks of two machines drift apart by up to 0.05%.
-		bound := c.fence.majorityAt.Add(c.confirmationTTL + c.confirmationTTL/1000)
-		if at.IsZero() || bound.Before(at) {
-			at = bound
-		}
-	}
+	c.noteAcksLocked(now)
+	at := c.fence.provenAt(c.confirmationTTL)
 	if at.IsZero() || now.Before(at) {
 		return
 	}
-	// Proof for this epoch is proof for all older ones; a few are kept so
-	// that a machine taken under an older epoch keeps its earlier date.
 	c.fenceRecords = append(c.fenceRecords, fenceRecord{token: c.epoch.Token, at: at})
-	if len(c.fenceRecords) > 64 {
+	if len(c.fenceRecords) > maxFenceRecords {
 		c.fenceRecords = c.fenceRecords[1:]
 	}
 }
 
-// confirmByMajorityLocked confirms the epoch as of the latest time at which a
-// majority, this controller included, knew of no newer one. A peer that has
-// not read the epoch since it started does not count: it may have forgotten a
-// newer one.
-func (c *Cluster) confirmByMajorityLocked() {
-	if !c.memberLocked() {
-		return
-	}
-	var times []time.Time
-	for _, p := range c.peers {
-		times = append(times, p.confirmedAt)
+// fenceProvenLocked reports whether the proof for the current epoch is recorded.
+func (c *Cluster) fenceProvenLocked() bool {
+	return len(c.fenceRecords) > 0 && c.fenceRecords[len(c.fenceRecords)-1].token >= c.epoch.Token
+}
+
+// noteAcksLocked notes when a majority and when all were first seen to know the
+// epoch.
+func (c *Cluster) noteAcksLocked(now time.Time) {
+	if c.fence.majorityAt.IsZero() && 2*(len(c.fence.acked)+1) > len(c.peers)+1 {
+		c.fence.majorityAt = now
 	}
-	needed := (len(c.peers) + 1) / 2 // besides this controller
-	if needed == 0 {
-		return
+	if c.fence.allAt.IsZero() && len(c.fence.acked) == len(c.peers) {
+		c.fence.allAt = now
 	}
-	slices.SortFunc(times, func(a, b time.Time) int { return b.Compare(a) })
-	c.confirmLocked(times[needed-1])
 }
 
-// confirmLocked notes a confirmation, asked for at a time, that the epoch was current.
-func (c *Cluster) confirmLocked(at time.Time) {
-	if at.After(c.confirmed) {
-		c.confirmed = at
+// provenAt returns from when on no controller answers heartbeats under an older
+// epoch: once all know this one, or once the last confirmation has expired that a
+// majority can have given before it knew this one. Zero: not known yet.
+func (f *fence) provenAt(confirmationTTL time.Duration) time.Time {
+	if f.majorityAt.IsZero() {
+		return f.allAt
+	}
+	expired := f.majorityAt.Add(confirmationTTL + clockDrift(confirmationTTL))
+	if f.allAt.IsZero() || expired.Before(f.allAt) {
+		return expired
 	}
+	return f.allAt
 }
--- /dev/null
+++ b/internal/cluster/leader_test.go
@@ -0,0 +1,65 @@
+package cluster
+
+import (
+	"context"
+	"io"
+	"log/slog"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"heronwick/internal/cluster/peerpb"
+	"heronwick/internal/standin"
+	"heronwick/internal/state"
+)
+
+// leader is a leader under test. Its two peers are scripted and silent at first.
+type leader struct {
+	*Cluster
+	service       *standin.State
+	cancellations *fakeCancellations
+	b, d          *scriptedPeer
+}
+
+// withLeader runs f in a synctest bubble with a leader of three controllers.
+func withLeader(t *testing.T, f func(t *testing.T, c *leader)) {
+	synctest.Test(t, func(t *testing.T) {
+		c := newLeader()
+		ctx, cancel := context.WithCancel(context.Background())
+		go func() { _ = c.Run(ctx) }()
+		time.Sleep(2 * time.Second)
+		if _, leads, member := c.Current(); !leads || !member {
+			t.Error("the only live controller does not lead")
+		}
+		f(t, c)
+		cancel()
+		time.Sleep(10 * time.Second)
+	})
+}
+
+func newLeader() *leader {
+	service := standin.NewState()
+	route := state.NewFailoverTransport(service.Connect("a"), nil)
+	client := newClient(route)
+	cancellations := &fakeCancellations{revision: 1, client: client}
+	b, d := &scriptedPeer{}, &scriptedPeer{}
+	opts := testOptions(client, cancellations)
+	opts.Route, opts.Peers = route, map[string]PeerClient{"b": b, "d": d}
+	return &leader{Cluster: New(opts), service: service, cancellations: cancellations, b: b, d: d}
+}
+
+func newClient(transport state.Transport) *state.Client {
+	return state.NewClient(transport, state.NewBudget(150, 60, 16))
+}
+
+// testOptions are those of a controller "a" without peers.
+func testOptions(client *state.Client, cancellations *fakeCancellations) Options {
+	return Options{
+		Node: "a", Client: client, LeaseFor: 20 * time.Second, CancelIn: 40 * time.Second, Cancellations: cancellations,
+		RunMembership: func(ctx context.Context, _ *Membership) error { <-ctx.Done(); return nil },
+		Status:        func(*peerpb.Status) {},
+		Changed:       func() {},
+		Weights:       func() map[string]float64 { return nil },
+		Log:           slog.New(slog.NewTextHandler(io.Discard, nil)),
+	}
+}
--- a/internal/cluster/membership.go
+++ b/internal/cluster/membership.go
@@ -2,201 +2,151 @@
 
 import (
 	"context"
-	"maps"
-	"slices"
 	"time"
-
-	"heronwick/internal/cluster/peerpb"
 )
 
-// next copies the epoch and raises the token.
-func (e *Epoch) next() Epoch {
-	n := *e
-	n.Token++
-	n.Members, n.Teams = maps.Clone(e.Members), maps.Clone(e.Teams)
-	if n.Members == nil {
-		n.Members = map[string]Member{}
-	}
-	if n.Teams == nil {
-		n.Teams = map[string]string{}
-	}
-	return n
+// exclusionPeriod is how long a member that could not reach its workers is kept
+// from joining again.
+const exclusionPeriod = 15 * time.Second
+
+// Membership is the cluster as seen by the scheduler of one membership of this
+// controller. A scheduler whose membership is over may take long to end, and
+// meanwhile its controller may be a member again, under a newer token: what the
+// old scheduler knows is no longer current.
+type Membership struct {
+	*Cluster
+	since uint64 // token of the epoch in which the membership began
 }
 
-// assignTeams gives every team an owner among the members. A team whose owner is a
-// member moves only if that evens out the work by much: a move costs its tasks
-// a second owner.
-func (e *Epoch) assignTeams(weights map[string]float64) {
-	load := map[string]float64{}
-	for node := range e.Members {
-		load[node] = 0
-	}
-	nodes := slices.Sorted(maps.Keys(load))
-	teams := slices.Sorted(maps.Keys(weights))
-	slices.SortStableFunc(teams, func(a, b string) int {
-		switch {
-		case weights[a] > weights[b]:
-			return -1
-		case weights[a] < weights[b]:
-			return 1
-		}
-		return 0
-	})
-	least := func() string {
-		return slices.MinFunc(nodes, func(a, b string) int {
-			switch {
-			case load[a] < load[b]:
-				return -1
-			case load[a] > load[b]:
-				return 1
-			}
-			return 0
-		})
-	}
-	var loose []string
-	for _, t := range teams {
-		if _, ok := load[e.Teams[t]]; !ok {
-			loose = append(loose, t)
-			continue
-		}
-		load[e.Teams[t]] += weights[t]
+// FencingToken returns the fencing token of the current epoch, and whether the
+// scheduler of this membership may answer workers' heartbeats and command them
+// now: both as of the same moment.
+func (m *Membership) FencingToken() (token uint64, ok bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.epoch.Token, m.canAnswerHeartbeatsLocked() && m.epoch.Members[m.opts.Node].Since == m.since
+}
+
+// startMembershipLocked starts RunMembership for a membership that has begun.
+func (c *Cluster) startMembershipLocked(ctx context.Context) {
+	if !c.memberLocked() || c.stopMembership != nil {
+		return
 	}
-	for _, t := range loose {
-		// The leader takes the machines of a member that has gone, so it takes
-		// its teams too: elsewhere all their tasks would run on another owner's machines.
-		e.Teams[t] = e.Leader
-		if _, ok := load[e.Leader]; !ok {
-			e.Teams[t] = least()
-		}
-		load[e.Teams[t]] += weights[t]
+	ctx, c.stopMembership = context.WithCancel(ctx)
+	previous := c.membershipDone
+	c.membershipDone = make(chan struct{})
+	go c.runMembership(ctx, &Membership{c, c.epoch.Members[c.opts.Node].Since}, previous, c.membershipDone)
+}
+
+// runMembership calls RunMembership once that of the membership before, if any,
+// has returned, and closes done afterwards.
+func (c *Cluster) runMembership(ctx context.Context, membership *Membership, previous, done chan struct{}) {
+	defer close(done)
+	if previous != nil {
+		<-previous
 	}
-	// The smallest first: a move leaves the team's tasks on others' machines.
-	slices.Reverse(teams)
-	for _, t := range teams {
-		from, to := e.Teams[t], least()
-		// Worth it only if the receiver stays well below what the giver had.
-		if from != to && load[to]+weights[t] < 0.75*load[from] {
-			e.Teams[t] = to
-			load[from] -= weights[t]
-			load[to] += weights[t]
-		}
+	c.opts.Log.Info("membership started")
+	if err := c.opts.RunMembership(ctx, membership); err != nil && ctx.Err() == nil {
+		c.opts.Log.Error("membership failed", "err", err)
 	}
-	for t := range e.Teams {
-		if _, ok := weights[t]; !ok {
-			delete(e.Teams, t)
-		}
+}
+
+// endMembershipLocked stops RunMembership, if it runs.
+func (c *Cluster) endMembershipLocked() {
+	if c.stopMembership == nil {
+		return
 	}
+	c.opts.Log.Info("membership ended", "token", c.epoch.Token, "leader", c.epoch.Leader)
+	c.stopMembership()
+	c.stopMembership = nil
 }
 
-// reconcileMembership keeps the members and the assignment of teams up to date. Only the
-// leader does.
+// epochProposal is an epoch that may follow the one whose key has the version.
+type epochProposal struct {
+	next    Epoch
+	version uint64
+}
+
+// reconcileMembership keeps the members and the assignment of teams up to date.
+// It does nothing on a controller that does not lead.
 func (c *Cluster) reconcileMembership(ctx context.Context) {
 	weights := c.opts.Weights()
-	c.mu.Lock()
-	if !c.leadsLocked() {
-		c.mu.Unlock()
-		return
-	}
-	now := time.Now()
-	next, version := c.epoch.next(), c.version
-	changed := false
-	for node, p := range c.peers {
-		member := next.Members[node].Incarnation
-		alive := !p.lastSeen.IsZero() && now.Sub(p.lastSeen) < c.timeouts.deadAfter
-		if alive && member != 0 && p.status.Cut && p.status.Incarnation == member && p.workersElsewhere(c) {
-			p.excludedUntil = now.Add(exclusionPeriod)
-		}
-		// Only who knows this epoch is surely still there: the leader before,
-		// say, was heard a moment before it ended.
-		fit := alive && p.status.Ready && !p.status.Cut && p.token >= c.epoch.Token && now.After(p.excludedUntil)
-		switch {
-		case member != 0 && (!alive || p.incarnation != member || now.Before(p.excludedUntil)):
-			delete(next.Members, node)
-			changed = true
-			c.opts.Log.Info("member gone", "member", node, "silent", now.Sub(p.lastSeen), "shunned", now.Before(p.excludedUntil))
-			fallthrough
-		case member == 0 && fit:
-			if fit {
-				next.Members[node] = Member{Incarnation: p.incarnation, Since: next.Token}
-				changed = true
-				c.opts.Log.Info("member joins", "member", node)
-			}
-		}
-	}
-	for _, node := range next.Teams {
-		changed = changed || next.Members[node].Since == 0
-	}
-	for t := range weights {
-		changed = changed || next.Teams[t] == ""
-	}
-	c.mu.Unlock()
-	if !changed {
+	proposal := c.proposeMembers(weights)
+	if proposal == nil {
 		return
 	}
-	next.assignTeams(weights)
-	if err := c.compareAndSwapEpoch(ctx, next, version); err != nil {
+	proposal.next.assignTeams(weights)
+	if err := c.compareAndSwapEpoch(ctx, proposal.next, proposal.version); err != nil {
 		c.opts.Log.Info("changing the epoch failed", "err", err)
 	}
 }
 
-// workersElsewhere tells whether the workers that a cut member cannot reach
-// come to other controllers.
-func (p *peer) workersElsewhere(c *Cluster) bool {
-	heard := max(len(c.workersHeard), c.mostWorkersHeardLocked(p))
-	return heard > int(p.status.Machines)/3
-}
-
-// Totals sums the machines, idle machines, CPUs and free CPUs of the other members.
-func (c *Cluster) Totals() (machines, idle int, cpus, free float64) {
+// proposeMembers returns an epoch with the members as they should be now, nil if
+// nothing is to be changed. Its teams are not assigned yet.
+func (c *Cluster) proposeMembers(weights map[string]float64) *epochProposal {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for node, p := range c.peers {
-		if c.epoch.Members[node].Since != 0 && p.status != nil {
-			machines, idle = machines+int(p.status.Machines), idle+int(p.status.Idle)
-			cpus, free = cpus+p.status.Cpus, free+p.status.FreeCpus
+	if !c.leadsLocked() {
+		return nil
+	}
+	proposal := &epochProposal{next: c.epoch.next(), version: c.version}
+	now := time.Now()
+	changed := false
+	for _, p := range c.peers {
+		if c.updateMemberLocked(&proposal.next, p, now) {
+			changed = true
 		}
 	}
-	return machines, idle, cpus, free
+	if !changed && !proposal.next.teamsOutdated(weights) {
+		return nil
+	}
+	return proposal
 }
 
-// Idle tells how many idle machines a member has.
-func (c *Cluster) Idle(node string) int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if p := c.peers[node]; p != nil && p.status != nil {
-		return int(p.status.Idle)
-	}
-	return 0
+// updateMemberLocked removes a peer from the members of next or adds it, and
+// reports whether it did either. One that restarted is removed and added again.
+func (c *Cluster) updateMemberLocked(next *Epoch, p *peer, now time.Time) (changed bool) {
+	member := next.Members[p.node].Incarnation // 0: it is none
+	alive := !p.lastSeen.IsZero() && now.Sub(p.lastSeen) < c.timeouts.deadAfter
+	if alive && member != 0 && p.status.Cut && p.status.Incarnation == member && c.workersReachOthersLocked(p) {
+		p.excludedUntil = now.Add(exclusionPeriod)
+	}
+	excluded := now.Before(p.excludedUntil)
+	if member != 0 && (!alive || p.incarnation != member || excluded) {
+		delete(next.Members, p.node)
+		c.opts.Log.Info("member removed", "member", p.node, "silent", now.Sub(p.lastSeen), "excluded", excluded)
+		member, changed = 0, true
+	}
+	// Only a peer that knows this epoch is surely still there: the leader
+	// before, say, was heard a moment before it ended.
+	fit := alive && p.status.Ready && !p.status.Cut && p.token >= c.epoch.Token && now.After(p.excludedUntil)
+	if member == 0 && fit {
+		next.Members[p.node] = Member{Incarnation: p.incarnation, Since: next.Token}
+		c.opts.Log.Info("member joins", "member", p.node)
+		changed = true
+	}
+	return changed
 }
 
-// PeerLoad is what another member has to look after.
-type PeerLoad struct {
-	Machines   int
-	Overloaded bool // it was short of processor time lately
+// workersReachOthersLocked reports whether the workers that a cut-off member
+// cannot reach send their heartbeats to other controllers.
+func (c *Cluster) workersReachOthersLocked(cut *peer) bool {
+	heard := max(len(c.workersHeard), c.mostWorkersHeardLocked(cut))
+	return heard > int(cut.status.Machines)/3
 }
 
-// PeerLoads returns the loads of the other members that were heard from lately.
-func (c *Cluster) PeerLoads() map[string]PeerLoad {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	loads := map[string]PeerLoad{}
-	for _, p := range c.heardPeersLocked() {
-		if c.epoch.Members[p.node].Since != 0 {
-			loads[p.node] = PeerLoad{Machines: int(p.status.Machines), Overloaded: p.status.Overloaded}
+// teamsOutdated reports whether a team is owned by a node that is no member, or a
+// team of weights by none.
+func (e *Epoch) teamsOutdated(weights map[string]float64) bool {
+	for _, node := range e.Teams {
+		if e.Members[node].Since == 0 {
+			return true
 		}
 	}
-	return loads
-}
-
-// UnplacedWants returns the demand that finds no room on the other members' machines.
-func (c *Cluster) UnplacedWants() []*peerpb.Want {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	var all []*peerpb.Want
-	for _, p := range c.heardPeersLocked() {
-		if c.epoch.Members[p.node].Since != 0 {
-			all = append(all, p.status.Wants...)
+	for team := range weights {
+		if e.Teams[team] == "" {
+			return true
 		}
 	}
-	return all
+	return false
 }
--- a/internal/cluster/ownership.go
+++ b/internal/cluster/ownership.go
@@ -1,54 +1,58 @@
 package cluster
 
 import (
-	"context"
 	"encoding/json"
-	"errors"
 	"strconv"
 	"strings"
-	"time"
 
 	"heronwick/internal/state"
-	"heronwick/internal/wait"
 	"heronwick/wire"
 )
 
-// ownerPrefix is where transfers are: each key gives machines to a member.
+// ownerPrefix is the prefix of the transfers' keys.
 const ownerPrefix = prefix + "owner/"
 
-// Transfer is the value of one such key, written once by the owner of its
-// machines. A machine belongs to whom the newest transfer that names it gives
-// it; what none names, or whose owner's membership is over, is the leader's. Many
-// machines in one value make a regrouping of hundreds a few changes.
+// Transfer is the value of a key that gives machines to a member, written once by
+// the owner of the machines. A machine belongs to the member that the newest
+// transfer with its name gives it to; a machine that no transfer names, or whose
+// owner's membership is over, is the leader's. Many machines in one value make a
+// change of owner of hundreds a few changes of the store.
 type Transfer struct {
-	Node  string `json:"node"`  // "": the machines are gone for good
-	Since uint64 `json:"since"` // of the member
-	Token uint64 `json:"token"` // under which it was written
-	// Machines holds, by name, what the owner before knew, for the one after.
+	Node  string `json:"node"`  // the new owner; "": the machines are gone for good
+	Since uint64 `json:"since"` // of the new owner's membership
+	Token uint64 `json:"token"` // of the epoch under which it was written
+	// Machines holds, by name, the record of each machine from its owner before.
 	Machines map[string]json.RawMessage `json:"machines,omitempty"`
 	// Machine is set in the earlier form, whose key names the one machine.
 	Machine json.RawMessage `json:"machine,omitempty"`
 }
 
-// Owner is who owns a machine, by the newest transfer that names it: it alone
-// answers its worker and places on it.
+// Owner is the owner of a machine, by the newest transfer that names it: it alone
+// answers its worker and places tasks on it.
 type Owner struct {
 	Node    string
-	Since   uint64
-	Machine json.RawMessage // what the owner before knew of it
+	Since   uint64          // of the owner's membership
+	Machine json.RawMessage // the machine's record from its owner before
 	Version uint64          // of the transfer
-	key     string
+	key     string          // of the transfer
 }
 
-// Released tells whether the machine was given back to the cloud.
+// Released reports whether the machine was returned to the cloud.
 func (o Owner) Released() bool { return o.Node == "" && o.Version > 0 }
 
-// transfer is a Transfer as the store holds it.
+// memberIn reports whether the owner's membership is one of an epoch.
+func (o Owner) memberIn(epoch *Epoch) bool {
+	return o.Since != 0 && epoch.Members[o.Node].Since == o.Since
+}
+
+// transfer is a Transfer with the version of its key.
 type transfer struct {
 	Transfer
 	version uint64
 }
 
+// applyTransferLocked applies the value of a transfer's key. Keys of other kinds
+// and values older than the known one are ignored.
 func (c *Cluster) applyTransferLocked(key string, value json.RawMessage, version uint64) {
 	name, ok := strings.CutPrefix(key, ownerPrefix)
 	if !ok || c.transfers[key].version >= version {
@@ -64,18 +68,19 @@
 	c.addTransferLocked(key, t)
 }
 
+// addTransferLocked adds a transfer, which becomes the owner record of the
+// machines that no newer one names.
 func (c *Cluster) addTransferLocked(key string, t transfer) {
-	version := t.version
 	c.transfers[key] = t
-	for machine, about := range t.Machines {
-		if version > c.owners[machine].Version {
-			c.owners[machine] = Owner{Node: t.Node, Since: t.Since, Machine: about, Version: version, key: key}
+	for machine, record := range t.Machines {
+		if t.version > c.owners[machine].Version {
+			c.owners[machine] = Owner{Node: t.Node, Since: t.Since, Machine: record, Version: t.version, key: key}
 		}
 	}
 }
 
-// removeTransferLocked takes the removal of a transfer. One is removed only once
-// no older one names its machines, so nothing older comes to light.
+// removeTransferLocked applies the removal of a transfer. One is removed only once
+// no older one names its machines, so no older owner comes back.
 func (c *Cluster) removeTransferLocked(key string) {
 	for machine := range c.transfers[key].Machines {
 		if c.owners[machine].key == key {
@@ -85,16 +90,12 @@
 	delete(c.transfers, key)
 }
 
-// memberIn tells whether the owner is, in its membership, a member of an epoch.
-func (o Owner) memberIn(epoch *Epoch) bool {
-	return o.Since != 0 && epoch.Members[o.Node].Since == o.Since
-}
-
+// validLocked reports whether the owner is a member of the current epoch.
 func (c *Cluster) validLocked(o Owner) bool { return o.memberIn(&c.epoch) }
 
-// OwnedMachines returns the machines that this controller owns by name, and the names
-// of those whose owner is no member. fresh is false while a write of an older
-// epoch may not have been seen yet.
+// OwnedMachines returns the machines that this controller owns, by name, and the
+// names of the orphans: those whose owner is no member. fresh is false while a
+// write of an older epoch may not have been seen yet.
 func (c *Cluster) OwnedMachines() (mine map[string]Owner, orphans []string, fresh bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -108,10 +109,10 @@
 			mine[machine] = o
 		}
 	}
-	return mine, orphans, c.revision >= c.version
+	return mine, orphans, c.freshLocked()
 }
 
-// OwnerOf returns a machine's owner, member or not; named tells whether any
+// OwnerOf returns a machine's owner, member or not; named reports whether any
 // transfer names the machine.
 func (c *Cluster) OwnerOf(machine string) (o Owner, named bool) {
 	c.mu.Lock()
@@ -120,8 +121,8 @@
 	return o, named
 }
 
-// HostOf returns the member that owns a machine in an epoch, or its leader,
-// which takes what has no owner.
+// HostOf returns the member that owns a machine in an epoch; one without an owner
+// is the leader's.
 func (c *Cluster) HostOf(epoch *Epoch, machine string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,17 +132,20 @@
 	return epoch.Leader
 }
 
-// Fresh tells whether every owner's write of an older epoch has been seen.
+// Fresh reports whether every transfer of an older epoch has been seen.
 func (c *Cluster) Fresh() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.revision >= c.version
+	return c.freshLocked()
 }
 
-// TransferWrite returns the write that makes node the owner of machines, or,
-// with no node, marks them as gone for good; ok is false if the node is no
-// member. It must also be conditional on the epoch: under one epoch only the
-// present owner of a machine writes about it.
+func (c *Cluster) freshLocked() bool { return c.revision >= c.version }
+
+// TransferWrite returns the condition and the change that make node the owner of
+// machines, given by name with their records, or, with node "", mark them as gone
+// for good; ok is false if the node is no member. The write must also be
+// conditional on the epoch: under one epoch only the current owner of a machine
+// transfers it.
 func (c *Cluster) TransferWrite(node string, machines map[string]json.RawMessage) (condition wire.Condition, change wire.Change, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,108 +157,16 @@
 	if err != nil {
 		return condition, change, false
 	}
-	c.written++
-	key := state.MemberKey(ownerPrefix, c.opts.Node, c.epoch.Members[c.opts.Node].Since, strconv.FormatUint(c.written, 10))
+	c.transfersWritten++
+	name := strconv.FormatUint(c.transfersWritten, 10)
+	key := state.MemberKey(ownerPrefix, c.opts.Node, c.epoch.Members[c.opts.Node].Since, name)
 	return wire.Condition{Key: key}, wire.Change{Put: key, Value: value}, true
 }
 
-// NoteOwner takes an owner's write that was carried out, before the watch
-// tells of it.
+// NoteOwner applies a transfer that was written at a version, before the watch
+// brings it.
 func (c *Cluster) NoteOwner(change wire.Change, version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.applyTransferLocked(change.Put, change.Value, version)
 }
-
-// maxTransfers is how many transfers may stand before the leader raises the
-// token so that it can remove what is settled.
-const maxTransfers = 200
-
-// transferCleanupInterval is how often the leader looks for transfers to remove.
-const transferCleanupInterval = 10 * time.Second
-
-// runTransferCleanup tidies now and then, apart from what keeps the leader's lease: it
-// waits behind everything else for the state service's limits.
-func (c *Cluster) runTransferCleanup(ctx context.Context) error {
-	for ctx.Err() == nil {
-		wait.Sleep(ctx, transferCleanupInterval)
-		c.removeSettledTransfers(ctx)
-	}
-	return nil
-}
-
-// cleanupGuard returns what the removal of records is conditional on besides the epoch.
-func (c *Cluster) cleanupGuard() ([]wire.Condition, error) {
-	if c.opts.Cleanup == nil {
-		return nil, nil
-	}
-	return c.opts.Cleanup()
-}
-
-// removeSettledTransfers removes transfers that decide nothing any more: newer ones name all
-// their machines, or the owner's membership is over and none older names them. A
-// late copy of a transfer would bring it back as the newest one, so one is
-// removed only under a later epoch than its own: the copy then fails.
-func (c *Cluster) removeSettledTransfers(ctx context.Context) {
-	const most = 8 // changes; it need not be quick
-	guard, err := c.cleanupGuard()
-	if err != nil {
-		return // whoever has the right to does it
-	}
-	c.mu.Lock()
-	if !c.leadsLocked() || c.revision < c.version {
-		c.mu.Unlock()
-		return
-	}
-	txn := wire.Txn{If: append(guard, wire.Condition{Key: epochKey, Version: c.version})}
-	oldest := map[string]uint64{} // by machine, the oldest transfer that names it
-	for _, t := range c.transfers {
-		for machine := range t.Machines {
-			if v, ok := oldest[machine]; !ok || t.version < v {
-				oldest[machine] = t.version
-			}
-		}
-	}
-	young := 0
-	for key, t := range c.transfers {
-		settled := true
-		for machine := range t.Machines {
-			newest := c.owners[machine].key == key
-			if newest && (c.validLocked(c.owners[machine]) || oldest[machine] < t.version) {
-				settled = false
-				break
-			}
-		}
-		switch {
-		case !settled:
-		case t.Token >= c.epoch.Token:
-			young++
-		case len(txn.Then) < most:
-			txn.If = append(txn.If, wire.Condition{Key: key, Version: t.version})
-			txn.Then = append(txn.Then, wire.Change{Delete: key})
-		}
-	}
-	c.mu.Unlock()
-	if young > maxTransfers {
-		if err := c.AdvanceEpoch(ctx); err != nil {
-			c.opts.Log.Debug("raising the token failed", "err", err)
-		}
-		return
-	}
-	if len(txn.Then) == 0 {
-		return
-	}
-	_, err = c.opts.Client.Txn(ctx, state.Background, txn)
-	var conflict *state.Conflict
-	if err != nil {
-		if !errors.As(err, &conflict) {
-			c.opts.Log.Debug("removing transfers failed", "err", err)
-		}
-		return // the watch tells what stands
-	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, change := range txn.Then {
-		c.removeTransferLocked(change.Delete)
-	}
-}
--- /dev/null
+++ b/internal/cluster/peerload.go
@@ -0,0 +1,127 @@
+package cluster
+
+import "heronwick/internal/cluster/peerpb"
+
+// memberStatusesLocked returns the last status of each peer that is a member,
+// whether it was heard from lately or not.
+func (c *Cluster) memberStatusesLocked() []*peerpb.Status {
+	var statuses []*peerpb.Status
+	for node, p := range c.peers {
+		if c.isMemberLocked(node) && p.status != nil {
+			statuses = append(statuses, p.status)
+		}
+	}
+	return statuses
+}
+
+func (c *Cluster) isMemberLocked(node string) bool { return c.epoch.Members[node].Since != 0 }
+
+// Totals sums the machines, idle machines, CPUs and free CPUs of the other
+// members.
+func (c *Cluster) Totals() (machines, idle int, cpus, free float64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, status := range c.memberStatusesLocked() {
+		machines += int(status.Machines)
+		idle += int(status.Idle)
+		cpus += status.Cpus
+		free += status.FreeCpus
+	}
+	return machines, idle, cpus, free
+}
+
+// Idle returns how many idle machines another controller has, 0 if its status is
+// not known.
+func (c *Cluster) Idle(node string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if p := c.peers[node]; p != nil && p.status != nil {
+		return int(p.status.Idle)
+	}
+	return 0
+}
+
+// PeerLoad is the load of another member.
+type PeerLoad struct {
+	Machines   int
+	Overloaded bool // it was short of processor time lately
+}
+
+// PeerLoads returns the loads of the other members that were heard from lately,
+// by node.
+func (c *Cluster) PeerLoads() map[string]PeerLoad {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	loads := map[string]PeerLoad{}
+	for _, p := range c.heardPeersLocked() {
+		if c.isMemberLocked(p.node) {
+			loads[p.node] = PeerLoad{Machines: int(p.status.Machines), Overloaded: p.status.Overloaded}
+		}
+	}
+	return loads
+}
+
+// UnplacedWants returns the tasks for which the other members' machines have no
+// room.
+func (c *Cluster) UnplacedWants() []*peerpb.Want {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var wants []*peerpb.Want
+	for _, p := range c.heardPeersLocked() {
+		if c.isMemberLocked(p.node) {
+			wants = append(wants, p.status.Wants...)
+		}
+	}
+	return wants
+}
+
+// WorkersElsewhere returns the largest number of workers that lately sent their
+// heartbeats to one peer instead of the leader.
+func (c *Cluster) WorkersElsewhere() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.mostWorkersHeardLocked(nil)
+}
+
+// mostWorkersHeardLocked returns the largest number of workers that lately sent
+// their heartbeats to one peer other than the given one.
+func (c *Cluster) mostWorkersHeardLocked(except *peer) int {
+	most := 0
+	for _, p := range c.heardPeersLocked() {
+		if p != except {
+			most = max(most, int(p.workersHeard))
+		}
+	}
+	return most
+}
+
+// StatePeers returns the peers that lately reached the store.
+func (c *Cluster) StatePeers() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var nodes []string
+	for _, p := range c.heardPeersLocked() {
+		if p.stateOK {
+			nodes = append(nodes, p.node)
+		}
+	}
+	return nodes
+}
+
+// PeersAlive counts the peers that were heard from lately.
+func (c *Cluster) PeersAlive() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.heardPeersLocked())
+}
+
+// Peers returns the status of each peer that was heard from lately.
+func (c *Cluster) Peers() []*peerpb.Status {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var statuses []*peerpb.Status
+	for _, p := range c.heardPeersLocked() {
+		statuses = append(statuses, p.status)
+	}
+	return statuses
+}
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -8,19 +8,31 @@
 	"heronwick/internal/cluster/peerpb"
 )
 
-// peer is what this controller knows of another.
+const (
+	// directHealthyWithin is how lately this controller must have reached the
+	// store by itself for peers to send requests through it.
+	directHealthyWithin = 2 * time.Second
+	// workerHeardWithin is how long a worker's heartbeat counts for
+	// WorkersElsewhere.
+	workerHeardWithin = 5 * time.Second
+	// isolationSlack is how much longer than the leader's lease a controller must
+	// be cut off before it counts as isolated.
+	isolationSlack = 5 * time.Second
+)
+
+// peer is what this controller knows of another one.
 type peer struct {
 	node          string
 	client        PeerClient
-	lastSeen      time.Time // when its last answer came
+	lastSeen      time.Time      // when its last heartbeat or answer came
+	status        *peerpb.Status // as last received; nil: none yet
 	incarnation   uint64
-	token         uint64       // highest epoch token it has said it knows
-	level         FeatureLevel // of its version, as it last said
-	stateOK       bool
-	workers       uint32
-	confirmedAt   time.Time // when it was asked and knew of no newer epoch than ours
-	status        *peerpb.Status
-	excludedUntil time.Time // no member before then
+	token         uint64       // highest epoch token that it has said it knows
+	level         FeatureLevel // that its version supports
+	stateOK       bool         // it lately reached the store by itself
+	workersHeard  uint32       // that lately sent it heartbeats instead of the leader
+	confirmedAt   time.Time    // when it was asked and knew of no newer epoch than ours
+	excludedUntil time.Time    // it may not join before then
 	replication   replicationQueue
 }
 
@@ -31,7 +43,7 @@
 	ReplicateCancellations(ctx context.Context, req *peerpb.TellRequest) (*peerpb.TellReply, error)
 }
 
-// NoteWorkerHeartbeat notes that a worker sent its heartbeat here although
+// NoteWorkerHeartbeat records that a worker sent its heartbeat here although
 // another controller leads.
 func (c *Cluster) NoteWorkerHeartbeat(machine string) {
 	c.mu.Lock()
@@ -39,47 +51,8 @@
 	c.workersHeard[machine] = time.Now()
 }
 
-// WorkersElsewhere is the largest number of workers that lately came to one
-// peer instead of the leader.
-func (c *Cluster) WorkersElsewhere() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.mostWorkersHeardLocked(nil)
-}
-
-// mostWorkersHeardLocked is the largest number of workers that lately came to one
-// peer other than the given one.
-func (c *Cluster) mostWorkersHeardLocked(except *peer) int {
-	most := 0
-	for _, p := range c.heardPeersLocked() {
-		if p != except {
-			most = max(most, int(p.workers))
-		}
-	}
-	return most
-}
-
-// StatePeers returns the peers that lately reached the state service.
-func (c *Cluster) StatePeers() []string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	var nodes []string
-	for _, p := range c.heardPeersLocked() {
-		if p.stateOK {
-			nodes = append(nodes, p.node)
-		}
-	}
-	return nodes
-}
-
-// PeersAlive counts the peers heard from lately.
-func (c *Cluster) PeersAlive() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.heardPeersLocked())
-}
-
-// heardPeersLocked returns the peers that were heard from lately.
+// heardPeersLocked returns the peers that were heard from lately. Their status is
+// not nil.
 func (c *Cluster) heardPeersLocked() []*peer {
 	var heard []*peer
 	for _, p := range c.peers {
@@ -90,40 +63,23 @@
 	return heard
 }
 
-// Isolated tells whether this controller has long been cut off from all others
-// and is no member: for longer than it takes to lead if they have ended.
+// Isolated reports whether this controller is no member and has been cut off from
+// all others for longer than it takes to become the leader if they have ended.
 func (c *Cluster) Isolated() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	lonelyAfter := c.timeouts.leaderTTL + 5*time.Second
+	isolatedAfter := c.timeouts.leaderTTL + isolationSlack
 	for _, p := range c.peers {
-		if time.Since(p.lastSeen) < lonelyAfter {
+		if time.Since(p.lastSeen) < isolatedAfter {
 			return false
 		}
 	}
-	return len(c.peers) > 0 && !c.memberLocked() && time.Since(c.begun) > lonelyAfter
-}
-
-// Peers returns what the peers that were heard from lately say of themselves.
-func (c *Cluster) Peers() []*peerpb.Status {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	var all []*peerpb.Status
-	for _, p := range c.heardPeersLocked() {
-		all = append(all, p.status)
-	}
-	return all
+	return len(c.peers) > 0 && !c.memberLocked() && time.Since(c.startedAt) > isolatedAfter
 }
 
 // HandleHeartbeat answers a peer's heartbeat with this controller's status.
 func (c *Cluster) HandleHeartbeat(theirs *peerpb.Status) *peerpb.Status {
-	c.mu.Lock()
-	if p := c.peers[theirs.Node]; p != nil {
-		c.notePeerLocked(p, theirs)
-	}
-	newer := theirs.Token > c.epoch.Token
-	c.mu.Unlock()
-	if newer {
+	if c.recordHeartbeat(theirs) {
 		c.poke()
 	}
 	if len(theirs.Progress) > 0 && c.opts.OnProgress != nil {
@@ -132,76 +88,61 @@
 	return c.status(theirs.JobsRevision)
 }
 
-// notePeerLocked takes what a peer says of itself.
-func (c *Cluster) notePeerLocked(p *peer, theirs *peerpb.Status) {
+// recordHeartbeat records a heartbeat that a peer sent and reports whether the
+// peer knows a newer epoch.
+func (c *Cluster) recordHeartbeat(theirs *peerpb.Status) (outdated bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if p := c.peers[theirs.Node]; p != nil {
+		c.recordStatusLocked(p, theirs)
+	}
+	return theirs.Token > c.epoch.Token
+}
+
+// recordStatusLocked records a peer's status.
+func (c *Cluster) recordStatusLocked(p *peer, theirs *peerpb.Status) {
 	p.lastSeen, p.status = time.Now(), theirs
-	p.incarnation, p.token, p.stateOK, p.workers = theirs.Incarnation, theirs.Token, theirs.StateOk, theirs.WorkersHeard
+	p.incarnation, p.token = theirs.Incarnation, theirs.Token
 	p.level = FeatureLevel(theirs.FeatureLevel)
-	c.noteAckLocked(p)
+	p.stateOK, p.workersHeard = theirs.StateOk, theirs.WorkersHeard
+	c.recordAckLocked(p)
 }
 
-// status says how this controller is, and names the cancellations that it knows
-// after a revision.
+// status returns this controller's status, with the cancellations that it knows
+// after a revision of the store.
 func (c *Cluster) status(after uint64) *peerpb.Status {
 	s := &peerpb.Status{Node: c.opts.Node, Incarnation: c.incarnation, FeatureLevel: uint32(supportedLevel),
-		StateOk: c.opts.Route.DirectHealthy(2 * time.Second)}
+		StateOk: c.opts.Route.DirectHealthy(directHealthyWithin)}
 	c.opts.Status(s)
 	known := c.opts.Cancellations.KnownCancellations(after)
-	s.JobsRead, s.JobsRevision, s.JobsBase, s.Cancelled = known.Loaded, known.Revision, known.Base, toPeer(known.Recent)
+	s.JobsRead, s.JobsRevision, s.JobsBase = known.Loaded, known.Revision, known.Base
+	s.Cancelled = encodeCancellations(known.Recent)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.known {
 		s.Token = c.epoch.Token
 	}
+	c.forgetSilentWorkersLocked()
+	s.WorkersHeard = uint32(len(c.workersHeard))
+	return s
+}
+
+func (c *Cluster) forgetSilentWorkersLocked() {
 	now := time.Now()
-	for machine, at := range c.workersHeard {
-		if now.Sub(at) > 5*time.Second {
+	for machine, heardAt := range c.workersHeard {
+		if now.Sub(heardAt) > workerHeardWithin {
 			delete(c.workersHeard, machine)
 		}
 	}
-	s.WorkersHeard = uint32(len(c.workersHeard))
-	return s
 }
 
-// runHeartbeats exchanges status with one peer every heartbeat interval. The
-// answers of a majority that know no newer epoch also confirm ours: in an outage of the
-// state service that is what keeps workers' leases.
+// runHeartbeats exchanges status with one peer every heartbeat interval until ctx
+// ends.
 func (c *Cluster) runHeartbeats(ctx context.Context, p *peer) error {
 	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
 	for {
-		mine := c.status(math.MaxUint64)
-		if c.opts.Progress != nil {
-			mine.Progress = c.opts.Progress()
-		}
-		sent := time.Now()
-		bctx, cancel := context.WithTimeout(ctx, c.timeouts.heartbeatTimeout)
-		theirs, err := p.client.Heartbeat(bctx, mine)
-		cancel()
-		if err == nil {
-			c.opts.Cancellations.ApplyCancellations(fromPeer(theirs.Cancelled))
-			// What the peer cannot name, since it started or forgot, must be
-			// known here already: else its word says nothing of cancellations.
-			named := mine.JobsRead && theirs.JobsRead && theirs.JobsBase <= mine.JobsRevision
-			c.mu.Lock()
-			c.notePeerLocked(p, theirs)
-			if named && theirs.Token > 0 && theirs.Token <= c.epoch.Token {
-				p.confirmedAt = sent
-				c.confirmByMajorityLocked()
-			}
-			newer := theirs.Token > c.epoch.Token
-			c.mu.Unlock()
-			if newer {
-				c.poke()
-			}
-			if mine.JobsRead && theirs.JobsBase > mine.JobsRevision {
-				if err := c.opts.Cancellations.SyncToRevision(ctx, theirs.JobsBase); err != nil {
-					c.opts.Log.Debug("reading what a peer cannot name failed", "peer", p.node, "err", err)
-				}
-			}
-		} else {
-			c.opts.Log.Debug("beat failed", "peer", p.node, "err", err)
-		}
+		c.exchangeStatus(ctx, p)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -209,3 +150,50 @@
 		}
 	}
 }
+
+// exchangeStatus sends one heartbeat to a peer and takes its answer.
+func (c *Cluster) exchangeStatus(ctx context.Context, p *peer) {
+	mine := c.status(math.MaxUint64)
+	if c.opts.Progress != nil {
+		mine.Progress = c.opts.Progress()
+	}
+	sent := time.Now()
+	theirs, err := c.sendHeartbeat(ctx, p, mine)
+	if err != nil {
+		c.opts.Log.Debug("heartbeat to peer failed", "peer", p.node, "err", err)
+		return
+	}
+	c.opts.Cancellations.ApplyCancellations(decodeCancellations(theirs.Cancelled))
+	if c.recordAnswer(p, mine, theirs, sent) {
+		c.poke()
+	}
+	if mine.JobsRead && theirs.JobsBase > mine.JobsRevision {
+		if err := c.opts.Cancellations.SyncToRevision(ctx, theirs.JobsBase); err != nil {
+			c.opts.Log.Debug("reading what a peer cannot name failed", "peer", p.node, "err", err)
+		}
+	}
+}
+
+func (c *Cluster) sendHeartbeat(ctx context.Context, p *peer, mine *peerpb.Status) (*peerpb.Status, error) {
+	ctx, cancel := context.WithTimeout(ctx, c.timeouts.heartbeatTimeout)
+	defer cancel()
+	return p.client.Heartbeat(ctx, mine)
+}
+
+// recordAnswer records a peer's answer to a heartbeat that was sent at a time and
+// reports whether the peer knows a newer epoch. The answers of a majority that
+// know no newer one confirm ours: in an outage of the store that is what keeps
+// workers' leases.
+func (c *Cluster) recordAnswer(p *peer, mine, theirs *peerpb.Status, sent time.Time) (outdated bool) {
+	// What the peer cannot name, since it restarted or forgot, must be known here
+	// already: else its answer says nothing of cancellations.
+	knowsCancellations := mine.JobsRead && theirs.JobsRead && theirs.JobsBase <= mine.JobsRevision
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.recordStatusLocked(p, theirs)
+	if knowsCancellations && theirs.Token > 0 && theirs.Token <= c.epoch.Token {
+		p.confirmedAt = sent
+		c.confirmByMajorityLocked()
+	}
+	return theirs.Token > c.epoch.Token
+}
--- /dev/null
+++ b/internal/cluster/replicate_test.go
@@ -0,0 +1,48 @@
+package cluster
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"heronwick/internal/cluster/peerpb"
+	"heronwick/internal/job"
+	"heronwick/wire"
+)
+
+// A cancellation is replicated once so many controllers know it that no majority
+// can confirm an epoch without one of them, or if there is only one member.
+func TestReplicate(t *testing.T) {
+	cancellation := job.Cancellation{Job: "wk-000001", Revision: 50, Outcome: job.Outcome{State: wire.JobCancelled, Tasks: 3}}
+	withLeader(t, func(t *testing.T, c *leader) {
+		expect := func(what string, want bool) {
+			t.Helper()
+			began := time.Now()
+			if err := c.Replicate(context.Background(), cancellation); (err == nil) != want || time.Since(began) > time.Second {
+				t.Errorf("%s: %v after %v", what, err, time.Since(began))
+			}
+		}
+		expect("the only member", true)
+		c.b.setStatus(1, true)
+		c.d.setStatus(1, true)
+		time.Sleep(3 * time.Second)
+		expect("both peers answer", true)
+		if toB, toD := c.b.received(), c.d.received(); len(toB) != 1 || len(toD) != 1 || toB[0].Job != cancellation.Job {
+			t.Errorf("sent %v and %v", toB, toD)
+		}
+		c.d.silence()
+		expect("one peer answers", true)
+		c.b.silence()
+		expect("no peer answers", false)
+		time.Sleep(5 * time.Second)
+		expect("the only member again", true)
+		c.b.setStatus(c.Token(), true)
+		time.Sleep(3 * time.Second)
+		c.b.silence()
+		expect("the other member does not answer", false)
+		c.b.change(func(s *peerpb.Status) { s.Token, s.Ready, s.JobsRevision = c.Token(), true, 50 })
+		time.Sleep(1500 * time.Millisecond)
+		c.b.silence()
+		expect("the other has reported that it knows", true)
+	})
+}
--- a/internal/cluster/watch.go
+++ b/internal/cluster/watch.go
@@ -11,8 +11,60 @@
 	"heronwick/wire"
 )
 
-// refresh reads the epoch, the leader key and the transfers, perhaps before the
-// watch brings them.
+const (
+	// watchTimeout is how long one watch waits for changes. It is short, since a
+	// watch that is open while the store refuses this controller stays silent.
+	watchTimeout = 4 * time.Second
+	// A failed list is retried after listRetry plus up to retryJitter, a failed
+	// watch after watchRetry plus up to retryJitter.
+	listRetry   = 200 * time.Millisecond
+	watchRetry  = 100 * time.Millisecond
+	retryJitter = 200 * time.Millisecond
+)
+
+// watch follows the keys of this package until ctx ends: it lists them, and then
+// watches for as long as that works.
+func (c *Cluster) watch(ctx context.Context) error {
+	listed := false
+	for ctx.Err() == nil {
+		if !listed {
+			if err := c.refresh(ctx); err != nil {
+				c.opts.Log.Debug("reading the epoch failed", "err", err)
+				wait.Sleep(ctx, listRetry+rand.N(retryJitter))
+				continue
+			}
+			listed = true
+			c.poke()
+		}
+		if err := c.watchOnce(ctx); err != nil {
+			listed = false
+			wait.Sleep(ctx, watchRetry+rand.N(retryJitter))
+		}
+	}
+	return nil
+}
+
+// watchOnce waits for changes after the known revision and applies them.
+func (c *Cluster) watchOnce(ctx context.Context) error {
+	events, err := c.opts.Client.Watch(ctx, prefix, c.knownRevision(), watchTimeout)
+	if err != nil {
+		return err
+	}
+	c.applyEvents(events)
+	if len(events.Events) > 0 {
+		c.poke()
+		c.opts.Changed()
+	}
+	return nil
+}
+
+func (c *Cluster) knownRevision() uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.revision
+}
+
+// refresh lists the keys, perhaps before the watch brings their changes.
 func (c *Cluster) refresh(ctx context.Context) error {
 	sent := time.Now()
 	items, revision, err := c.opts.Client.List(ctx, state.Urgent, prefix)
@@ -20,47 +72,92 @@
 		return err
 	}
 	caughtUp := c.opts.Cancellations.SyncToRevision(ctx, revision) == nil
-	if c.applyList(sent, items, revision, caughtUp) {
+	if c.applyList(listing{sent: sent, items: items, revision: revision, caughtUp: caughtUp}) {
 		c.opts.Changed()
 	}
 	return nil
 }
 
-// applyList takes what a list that was asked for at sent has shown, or returns
-// false if more recent news has been taken since.
-func (c *Cluster) applyList(sent time.Time, items []wire.Item, revision uint64, caughtUp bool) bool {
+func (c *Cluster) refreshAndLog(ctx context.Context) {
+	if err := c.refresh(ctx); err != nil {
+		c.opts.Log.Debug("reading the epoch failed", "err", err)
+	}
+}
+
+// listing is a list of the keys as of a revision.
+type listing struct {
+	sent     time.Time // when it was asked for
+	items    []wire.Item
+	revision uint64
+	caughtUp bool // all cancellations up to the revision are known
+}
+
+// applyList applies a listing and returns true, or returns false if something
+// newer has been applied already.
+func (c *Cluster) applyList(l listing) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if revision < c.revision {
+	if l.revision < c.revision {
 		return false
 	}
-	c.revision, c.known = revision, true
+	c.revision, c.known = l.revision, true
+	c.applyItemsLocked(l)
+	if c.opts.WatchHandler != nil {
+		c.opts.WatchHandler.Replace(l.items, l.revision)
+	}
+	if l.caughtUp {
+		c.caughtUpAt = l.sent
+		if c.memberLocked() {
+			c.confirmLocked(l.sent)
+		}
+	}
+	return true
+}
+
+// applyItemsLocked replaces what is known of the keys by a listing. What was
+// written while that was on its way is not in it, and the watch may bring it late:
+// such transfers are kept. Without them, a machine that had just been given away
+// had no owner, so it was taken again, and two controllers answered its worker
+// (ran_twice).
+func (c *Cluster) applyItemsLocked(l listing) {
+	before := c.transfers
 	c.leaderVersion, c.leader = 0, leaderRecord{}
-	newer := c.transfers
 	c.owners, c.transfers = map[string]Owner{}, map[string]transfer{}
-	for _, item := range items {
+	for _, item := range l.items {
 		c.applyKeyLocked(item.Key, item.Value, item.Version)
 	}
-	// What was written while the list was on its way is not in it, and the
-	// watch may bring it late: a machine given a moment ago was nobody's, so
-	// taken again, and two controllers answered its worker (ran_twice).
-	for key, t := range newer {
-		if t.version > revision {
+	for key, t := range before {
+		if t.version > l.revision {
 			c.addTransferLocked(key, t)
 		}
 	}
+}
+
+// applyEvents applies what a watch has brought, unless it is known already.
+func (c *Cluster) applyEvents(events wire.Events) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if events.Revision <= c.revision {
+		return
+	}
+	c.revision = events.Revision
 	if c.opts.WatchHandler != nil {
-		c.opts.WatchHandler.Replace(items, revision)
+		c.opts.WatchHandler.Apply(events.Events, events.Revision)
 	}
-	if caughtUp {
-		c.caughtUp = sent
-		if c.memberLocked() {
-			c.confirmLocked(sent)
+	for _, event := range events.Events {
+		switch {
+		case event.Put != "":
+			c.applyKeyLocked(event.Put, event.Value, event.Version)
+		case event.Delete == leaderKey:
+			c.leaderVersion, c.leader = 0, leaderRecord{}
+		default:
+			c.removeTransferLocked(event.Delete)
 		}
 	}
-	return true
 }
 
+// applyKeyLocked applies a key's value. Values that cannot be decoded and an older
+// epoch are ignored.
 func (c *Cluster) applyKeyLocked(key string, value json.RawMessage, version uint64) {
 	switch key {
 	case epochKey:
@@ -73,9 +170,9 @@
 		}
 		c.setEpochLocked(e, version)
 	case leaderKey:
-		var l leaderRecord
-		if json.Unmarshal(value, &l) == nil {
-			c.leader, c.leaderVersion = l, version
+		var leader leaderRecord
+		if json.Unmarshal(value, &leader) == nil {
+			c.leader, c.leaderVersion = leader, version
 		}
 	case featuresKey:
 		c.applyFeaturesLocked(value, version)
@@ -84,76 +181,32 @@
 	}
 }
 
-// setEpochLocked takes a newer epoch and stops RunMembership if this controller is
-// no member any more.
+// setEpochLocked makes e the known epoch and ends this controller's membership if
+// e does not have it.
 func (c *Cluster) setEpochLocked(e Epoch, version uint64) {
-	was, since := c.memberLocked(), c.epoch.Members[c.opts.Node].Since
+	wasMember, since := c.memberLocked(), c.epoch.Members[c.opts.Node].Since
+	sameSince := e.Members[c.opts.Node].Since == since
 	if e.Token > c.epoch.Token {
-		// What peers said of the old epoch proves nothing about this one: a
-		// member stays permitted for what it has confirmed before, since
-		// nobody may answer its workers without its membership.
-		c.fence = fence{}
-		if !was || e.Members[c.opts.Node].Since != since {
-			c.confirmed = time.Time{}
-		}
-		for _, p := range c.peers {
-			p.confirmedAt = time.Time{}
-		}
+		c.resetConfirmationsLocked(wasMember && sameSince)
 	}
 	c.epoch, c.version, c.known = e, version, true
 	for _, p := range c.peers {
-		c.noteAckLocked(p)
+		c.recordAckLocked(p)
 	}
-	if was && c.epoch.Members[c.opts.Node].Since != since && c.stopMembership != nil {
-		c.opts.Log.Info("share ends: its membership is over", "token", e.Token, "leader", e.Leader)
-		c.stopMembership()
-		c.stopMembership = nil
+	if wasMember && !sameSince {
+		c.endMembershipLocked()
 	}
 }
 
-// watch follows the epoch and the leader key.
-func (c *Cluster) watch(ctx context.Context) error {
-	fresh := false
-	for ctx.Err() == nil {
-		if !fresh {
-			if err := c.refresh(ctx); err != nil {
-				c.opts.Log.Debug("reading the epoch failed", "err", err)
-				wait.Sleep(ctx, 200*time.Millisecond+rand.N(200*time.Millisecond))
-				continue
-			}
-			fresh = true
-			c.poke()
-		}
-		c.mu.Lock()
-		after := c.revision
-		c.mu.Unlock()
-		events, err := c.opts.Client.Watch(ctx, prefix, after, watchFor)
-		if err != nil {
-			fresh = false
-			wait.Sleep(ctx, 100*time.Millisecond+rand.N(200*time.Millisecond))
-			continue
-		}
-		c.mu.Lock()
-		if events.Revision > c.revision {
-			c.revision = events.Revision
-			if c.opts.WatchHandler != nil {
-				c.opts.WatchHandler.Apply(events.Events, events.Revision)
-			}
-			for _, e := range events.Events {
-				if e.Put != "" {
-					c.applyKeyLocked(e.Put, e.Value, e.Version)
-				} else if e.Delete == leaderKey {
-					c.leaderVersion, c.leader = 0, leaderRecord{}
-				} else {
-					c.removeTransferLocked(e.Delete)
-				}
-			}
-		}
-		c.mu.Unlock()
-		if len(events.Events) > 0 {
-			c.poke()
-			c.opts.Changed()
-		}
+// resetConfirmationsLocked forgets what proves nothing about a newer epoch: what
+// peers said of the old one. A member that stays one keeps its own confirmation,
+// since nobody may answer its workers without its membership.
+func (c *Cluster) resetConfirmationsLocked(staysMember bool) {
+	c.fence = fence{}
+	if !staysMember {
+		c.confirmedAt = time.Time{}
+	}
+	for _, p := range c.peers {
+		p.confirmedAt = time.Time{}
 	}
-	return nil
 }
