--- a/internal/duty/actions_test.go
+++ b/internal/duty/actions_test.go
@@ -3,8 +3,9 @@
 import (
 	"context"
 	"errors"
-	"heronwick/wire"
 	"testing"
+
+	"heronwick/wire"
 )
 
 // The zero Guard and Condemnation permit no action.
--- a/internal/duty/fixture_test.go
+++ b/internal/duty/fixture_test.go
@@ -4,14 +4,15 @@
 	"bytes"
 	"context"
 	"errors"
-	"heronwick/internal/standin"
-	"heronwick/internal/state"
-	"heronwick/wire"
 	"log/slog"
 	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"heronwick/internal/standin"
+	"heronwick/internal/state"
+	"heronwick/wire"
 )
 
 // testLease is the lease of the duties in tests.
--- a/internal/duty/handover_test.go
+++ b/internal/duty/handover_test.go
@@ -4,11 +4,12 @@
 	"context"
 	"errors"
 	"fmt"
-	"heronwick/internal/cloud"
-	"heronwick/wire"
 	"slices"
 	"testing"
 	"time"
+
+	"heronwick/internal/cloud"
+	"heronwick/wire"
 )
 
 // Two controllers act as holder: the replaced one has not seen its successor, and its lease
--- a/internal/duty/intents_test.go
+++ b/internal/duty/intents_test.go
@@ -4,10 +4,11 @@
 	"context"
 	"errors"
 	"fmt"
-	"heronwick/internal/cloud"
-	"heronwick/wire"
 	"testing"
 	"time"
+
+	"heronwick/internal/cloud"
+	"heronwick/wire"
 )
 
 // An intent decided under one epoch is not recorded under another, even while its duty is
--- a/internal/duty/keeper_test.go
+++ b/internal/duty/keeper_test.go
@@ -2,12 +2,13 @@
 
 import (
 	"errors"
-	"heronwick/internal/state"
-	"heronwick/wire"
 	"slices"
 	"strings"
 	"testing"
 	"time"
+
+	"heronwick/internal/state"
+	"heronwick/wire"
 )
 
 // A controller whose epoch is outdated or whose session is gone acquires nothing.
