--- a/cmd/failovertest/main.go
+++ b/cmd/failovertest/main.go
@@ -1,6 +1,6 @@
 // Command failovertest forces handovers of single duties between real processes over
-// loopback and checks every action that a fake machine service accepts. It freezes
-// and ends only processes that it has started itself. See docs/duties.md.
+// loopback, and checks every action that a fake machine service accepts. It pauses and
+// kills only processes that it has started itself. See docs/duties.md.
 package main
 
 import (
@@ -9,12 +9,14 @@
 	"time"
 
 	"github.com/alecthomas/kong"
+	"golang.org/x/sync/errgroup"
 
 	"heronwick/internal/dutyreport"
 	"heronwick/internal/failovertest"
 	"heronwick/internal/standin"
 )
 
+// arguments are the commands of the command line.
 type arguments struct {
 	Run  runCommand  `cmd:"" default:"withargs" help:"Force handovers and tell what was accepted (the default)."`
 	Node nodeCommand `cmd:"" name:"member" hidden:"" help:"One controller; started by the other command."`
@@ -30,22 +32,43 @@
 	Unfenced  bool          `help:"Duties off: what they are there for."`
 }
 
+const (
+	// machinesPerGroup is the capacity of each group's machine service.
+	machinesPerGroup = 30
+	// timeoutLeases is the timeout of a handover, in leases.
+	timeoutLeases = 10
+	// settleTime is given to each group after its last handover.
+	settleTime = 30 * time.Second
+	// seedsPerGroup separates the seeds of different groups and of their nodes.
+	seedsPerGroup = 1000
+	// maxFindings is how many stale actions are printed.
+	maxFindings = 5
+)
+
 func main() {
 	var args arguments
 	command := kong.Parse(&args, kong.Name("failovertest"), kong.Description("Forced handovers of single duties over loopback."))
 	command.FatalIfErrorf(command.Run())
 }
 
-// Run implements kong's interface of a command.
+// Run runs all groups side by side and prints the sum of their results. With duties on it
+// returns a checkFailedError if a check failed.
 func (r *runCommand) Run() error {
 	began := time.Now()
-	results := make(chan failovertest.Result, r.Groups)
+	results := make([]failovertest.Result, r.Groups)
+	var groups errgroup.Group
 	for i := range r.Groups {
-		go func() { results <- r.group(r.Seed*1000 + uint64(i)) }()
+		groups.Go(func() (err error) {
+			results[i], err = r.runGroup(r.Seed*seedsPerGroup + uint64(i))
+			return err
+		})
+	}
+	if err := groups.Wait(); err != nil {
+		return err
 	}
 	var total failovertest.Result
-	for range r.Groups {
-		total.Add(<-results)
+	for _, result := range results {
+		total.Add(result)
 	}
 	r.print(total, time.Since(began))
 	if !r.Unfenced && total.Checks.Stale+total.OpenIntents+total.TimedOut > 0 {
@@ -55,47 +78,52 @@
 }
 
 // checkFailedError reports a failover test with duties on that accepted stale actions,
-// left intents open or missed handovers.
+// left intents open or had handovers that timed out.
 type checkFailedError struct {
 	Stale, OpenIntents, TimedOut int
 }
 
-// Error implements error.
+// Error gives the counts of each failure.
 func (e checkFailedError) Error() string {
-	return fmt.Sprintf("%d stale actions, %d undone, %d missed", e.Stale, e.OpenIntents, e.TimedOut)
+	return fmt.Sprintf("failover check failed: %d stale actions, %d open intents, %d handovers timed out", e.Stale, e.OpenIntents, e.TimedOut)
 }
 
-// lease is that of the controllers.
-func (r *runCommand) lease() time.Duration {
+// dutyLease returns the lease of the controllers' duties; 0: duties are off.
+func (r *runCommand) dutyLease() time.Duration {
 	if r.Unfenced {
 		return 0
 	}
 	return r.Lease
 }
 
-// group runs one group's part of the handovers.
-func (r *runCommand) group(seed uint64) failovertest.Result {
+// runGroup runs one group's part of the handovers.
+func (r *runCommand) runGroup(seed uint64) (failovertest.Result, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	state := standin.NewState()
-	p := &processes{ctx: ctx, checker: failovertest.NewChecker(state, 30, !r.Unfenced), run: r, seed: seed * 1000}
-	defer p.end()
-	coordinator := failovertest.Coordinator{State: state, Checker: p.checker, Start: p.start, Seed: seed, Fenced: !r.Unfenced,
-		HandoverTimeout: 10 * r.Lease, ActionInterval: r.Pace, SettleTime: 30 * time.Second}
+	checker := failovertest.NewChecker(state, machinesPerGroup, !r.Unfenced)
+	nodes := &processGroup{checker: checker, lease: r.dutyLease(), actionInterval: r.Pace, seed: seed * seedsPerGroup}
+	defer nodes.stop()
+	coordinator := failovertest.Coordinator{
+		State: state, Checker: checker, Seed: seed, Fenced: !r.Unfenced,
+		Start:           func(name string) (failovertest.Controller, error) { return nodes.start(ctx, name) },
+		HandoverTimeout: timeoutLeases * r.Lease, ActionInterval: r.Pace, SettleTime: settleTime,
+	}
 	return coordinator.Run(r.Handovers / r.Groups)
 }
 
+// print prints the result of all groups.
 func (r *runCommand) print(total failovertest.Result, took time.Duration) {
-	v := total.Checks
+	checks := total.Checks
 	fmt.Printf("%d handovers in %v, lease %v, duties on: %v\n", total.Handovers, took.Round(time.Second), r.Lease, !r.Unfenced)
-	fmt.Printf("accepted: %d machines rented, %d returned; late: %d, after a refusal: %d, stale: %d\n", v.Rented, v.Returned, v.Late, v.AfterRefusal, v.Stale)
-	fmt.Printf("left undone: %d, handovers missed: %d\n", total.OpenIntents, total.TimedOut)
+	fmt.Printf("accepted: %d machines rented, %d returned; late: %d, after a refusal: %d, stale: %d\n", checks.Rented, checks.Returned, checks.Late, checks.AfterRefusal, checks.Stale)
+	fmt.Printf("intents left open: %d, handovers timed out: %d\n", total.OpenIntents, total.TimedOut)
 	for point := range failovertest.NumFreezePoints {
 		fmt.Printf("frozen %s: %d\n", point, total.FrozenAt[point])
 	}
-	fmt.Printf("handovers after a lapse: %v\n", dutyreport.QuantilesOf(total.AfterLeaseExpiry))
-	fmt.Printf("handovers after the end of a membership: %v\n", dutyreport.QuantilesOf(total.AfterRemoval))
-	for _, finding := range v.Findings[:min(5, len(v.Findings))] {
+	fmt.Printf("handovers after a lease expiry: %v\n", dutyreport.QuantilesOf(total.AfterLeaseExpiry))
+	fmt.Printf("handovers after a removal from the epoch: %v\n", dutyreport.QuantilesOf(total.AfterRemoval))
+	for _, finding := range checks.Findings[:min(maxFindings, len(checks.Findings))] {
 		fmt.Println("stale:", finding)
 	}
 }
--- a/cmd/failovertest/node.go
+++ b/cmd/failovertest/node.go
@@ -11,22 +11,25 @@
 	"heronwick/internal/state"
 )
 
-// nodeCommand is one controller.
+// nodeCommand runs one controller until it is killed.
 type nodeCommand struct {
-	Node    string
-	Address string
-	Lease   time.Duration
-	Pace    time.Duration
+	Node    string        // the controller's name
+	Address string        // of the store and the machine service
+	Lease   time.Duration // of the duties; 0: duties are off
+	Pace    time.Duration // between two actions
 	Seed    uint64
 }
 
 // unlimited is more requests a second than a controller sends.
 const unlimited = 1000
 
-// Run implements kong's interface of a command.
+// Run runs the controller; it does not return.
 func (c *nodeCommand) Run() error {
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError}))
-	failovertest.NewNode(failovertest.NodeOptions{Name: c.Node, Lease: c.Lease, State: state.NewHTTPTransport(c.Address), Provider: cloud.NewClient(c.Address, unlimited),
-		Seed: c.Seed, ActionInterval: c.Pace, Log: log}).Run(context.Background())
+	node := failovertest.NewNode(failovertest.NodeOptions{
+		Name: c.Node, Lease: c.Lease, State: state.NewHTTPTransport(c.Address), Provider: cloud.NewClient(c.Address, unlimited),
+		Seed: c.Seed, ActionInterval: c.Pace, Log: log,
+	})
+	node.Run(context.Background())
 	return nil
 }
--- a/cmd/failovertest/processes.go
+++ b/cmd/failovertest/processes.go
@@ -2,126 +2,95 @@
 
 import (
 	"context"
-	"encoding/json"
-	"errors"
-	"log"
+	"fmt"
 	"net"
 	"os"
 	"os/exec"
 	"strconv"
-	"strings"
+	"sync"
 	"syscall"
+	"time"
 
 	"github.com/valyala/fasthttp"
 
-	"heronwick/internal/cloud"
 	"heronwick/internal/failovertest"
-	"heronwick/wire"
 )
 
-// processes are controllers that run as processes of their own.
-type processes struct {
-	ctx      context.Context
-	checker  *failovertest.Checker
-	run      *runCommand
-	seed     uint64
-	children []*child
+// processGroup is a group of controllers that run as processes of their own. Each reaches
+// the store and the machine service at an address of its own, by which it is known.
+type processGroup struct {
+	checker        *failovertest.Checker
+	lease          time.Duration // of the duties; 0: duties are off
+	actionInterval time.Duration
+	seed           uint64 // of the last controller that was started
+
+	processes []*process
+	servers   sync.WaitGroup
 }
 
-// child is one controller's process.
-type child struct {
+// process is one controller's process and the proxy that it uses.
+type process struct {
 	*failovertest.Proxy
-	command *exec.Cmd
+	command  *exec.Cmd
+	listener net.Listener
 }
 
-// start starts a controller and offers it the store and the machine service at an
-// address of its own, by which it is known.
-func (p *processes) start(name string) failovertest.Controller {
-	p.seed++
+// start starts a controller, which ends with ctx at the latest.
+func (g *processGroup) start(ctx context.Context, name string) (*process, error) {
+	g.seed++
+	program, err := os.Executable()
+	if err != nil {
+		return nil, fmt.Errorf("finding the program: %w", err)
+	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	program, programErr := os.Executable()
-	if err := errors.Join(err, programErr); err != nil {
-		log.Fatalf("starting a controller: %v", err)
+	if err != nil {
+		return nil, fmt.Errorf("opening the proxy's port: %w", err)
 	}
-	c := &child{command: exec.CommandContext(p.ctx, program, "member", "--node="+name, "--address="+listener.Addr().String(),
-		"--lease="+p.run.lease().String(), "--pace="+p.run.Pace.String(), "--seed="+strconv.FormatUint(p.seed, 10))}
-	c.Proxy = failovertest.NewProxy(p.checker, name, p.seed, func() { c.signal(syscall.SIGSTOP) })
-	c.command.Stderr = os.Stderr
-	// In a process group of its own: one that has stopped nodes and loses its shell is
-	// ended whole, this process included.
-	c.command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
-	server := &fasthttp.Server{Handler: p.handler(c.Proxy)}
-	go func() { _ = server.Serve(listener) }()
-	context.AfterFunc(p.ctx, func() { _ = listener.Close() })
-	if err := c.command.Start(); err != nil {
-		log.Fatalf("starting a controller: %v", err)
+	p := &process{listener: listener, command: g.command(ctx, program, name, listener.Addr().String())}
+	p.Proxy = failovertest.NewProxy(g.checker, name, g.seed, func() { p.signal(syscall.SIGSTOP) })
+	server := &fasthttp.Server{Handler: handler(ctx, p.Proxy)}
+	g.servers.Go(func() { _ = server.Serve(listener) }) // ends when the listener is closed
+	if err := p.command.Start(); err != nil {
+		_ = listener.Close()
+		return nil, fmt.Errorf("running %s: %w", program, err)
 	}
-	p.children = append(p.children, c)
-	return c
-}
-
-// signal sends a signal to the controller, if it has not ended.
-func (c *child) signal(signal syscall.Signal) { _ = c.command.Process.Signal(signal) }
-
-// Resume implements failovertest.Controller.
-func (c *child) Resume() {
-	c.Proxy.Resume()
-	c.signal(syscall.SIGCONT)
+	g.processes = append(g.processes, p)
+	return p, nil
 }
 
-// Kill implements failovertest.Controller.
-func (c *child) Kill() {
-	c.signal(syscall.SIGKILL)
-	c.Proxy.Resume() // what it had sent is carried out
-	_ = c.command.Wait()
+// command returns the command that runs a controller.
+func (g *processGroup) command(ctx context.Context, program, name, address string) *exec.Cmd {
+	command := exec.CommandContext(ctx, program, "member", "--node="+name, "--address="+address,
+		"--lease="+g.lease.String(), "--pace="+g.actionInterval.String(), "--seed="+strconv.FormatUint(g.seed, 10))
+	command.Stderr = os.Stderr
+	// A process group of its own: when a group with stopped processes loses its shell, all
+	// of it is killed, including this process.
+	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
+	return command
 }
 
-// end ends all controllers.
-func (p *processes) end() {
-	for _, c := range p.children {
-		c.Kill()
+// stop kills all controllers and stops their servers.
+func (g *processGroup) stop() {
+	for _, p := range g.processes {
+		p.Kill()
+		_ = p.listener.Close()
 	}
+	g.servers.Wait()
 }
 
-// handler serves one controller.
-func (p *processes) handler(proxy *failovertest.Proxy) fasthttp.RequestHandler {
-	return func(ctx *fasthttp.RequestCtx) {
-		if path := string(ctx.Path()); strings.HasPrefix(path, wire.PathMachines) {
-			p.machines(ctx, path, proxy)
-			return
-		}
-		status, reply, err := proxy.Do(p.ctx, string(ctx.Method()), string(ctx.RequestURI()), ctx.PostBody())
-		if err != nil {
-			status = fasthttp.StatusServiceUnavailable
-		}
-		ctx.SetStatusCode(status)
-		ctx.SetBody(reply)
-	}
+// signal sends a signal to the controller, if it has not ended.
+func (p *process) signal(signal syscall.Signal) { _ = p.command.Process.Signal(signal) }
+
+// Resume implements failovertest.Controller.
+func (p *process) Resume() {
+	p.Proxy.Resume()
+	p.signal(syscall.SIGCONT)
 }
 
-// machines answers a request to the machine service. One whose answer is lost gets 504.
-func (p *processes) machines(ctx *fasthttp.RequestCtx, path string, proxy *failovertest.Proxy) {
-	var names wire.MachineNames
-	var request wire.RentRequest
-	var reply any = &names
-	err := errors.Join(json.Unmarshal(ctx.PostBody(), &names), json.Unmarshal(ctx.PostBody(), &request))
-	switch {
-	case ctx.IsGet():
-		list := wire.MachineList{}
-		list.Machines, err = proxy.List(ctx)
-		reply = list
-	case err != nil:
-	case path == wire.PathReturn:
-		err = proxy.Return(ctx, names.Machines)
-	default:
-		names.Machines, err = proxy.Rent(ctx, request)
-	}
-	switch {
-	case errors.Is(err, cloud.ErrNoCapacity):
-		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
-		reply = wire.Error{Error: "no capacity"}
-	case err != nil:
-		ctx.SetStatusCode(fasthttp.StatusGatewayTimeout)
-	}
-	_ = json.NewEncoder(ctx).Encode(reply)
+// Kill implements failovertest.Controller. Requests that the controller has sent are still
+// carried out.
+func (p *process) Kill() {
+	p.signal(syscall.SIGKILL)
+	p.Proxy.Resume()
+	_ = p.command.Wait()
 }
--- a/internal/failovertest/checker.go
+++ b/internal/failovertest/checker.go
@@ -12,60 +12,70 @@
 	"heronwick/wire"
 )
 
-// Keys that the checker reads from the store by itself, apart from the code under test.
+// Keys of the store. The checker names them itself, independently of the code under test.
 const (
 	clusterPrefix    = "cluster/"
 	epochKey         = clusterPrefix + "epoch"
-	workPrefix       = clusterPrefix + "work/" // by machine: something is placed on it
+	workPrefix       = clusterPrefix + "work/" // by machine; the key exists while work is placed on it
 	reclaimHolderKey = "cluster/duty/holder/reclaim/fleet"
 	rentHolderKey    = "cluster/duty/holder/rent/fleet"
-	condemnedPrefix  = "cluster/duty/condemned/"
+	returnPrefix     = "cluster/duty/condemned/"
 	rentalPrefix     = "cluster/duty/rental/"
 )
 
-// CheckCounts counts what a Checker accepted.
+// CheckCounts counts the actions that a Checker accepted.
 type CheckCounts struct {
 	Returned, Rented int // machines
-	// Late counts the actions that were accepted from a holder already replaced.
+	// Late counts the actions accepted from a controller that was no longer the holder.
 	Late int
-	// AfterRefusal counts those among them that rented under a request that was refused
-	// for capacity before: the cloud allows one more try, and no record can cover it,
-	// since it was answered. Its machines are found in the list.
+	// AfterRefusal counts the late rentals under a request that was refused for lack of
+	// capacity before. The cloud allows it to be repeated, and its intent may be closed
+	// since it was answered; the successor finds the machines in the cloud's list.
 	AfterRefusal int
-	// Stale counts those among them that no intent covers that the successor knows, and
-	// returns of machines on which somebody has placed something since.
+	// Stale counts the other late actions that no intent in the store covers, and returns
+	// of machines on which work was placed after the intent.
 	Stale    int
-	Findings []string // what the stale ones were
+	Findings []string // a description of each stale action
 }
 
-// Checker is a fake machine service: it carries out rentals and returns, and checks each
-// one it accepts against the store.
+// add adds the counts of another Checker.
+func (c *CheckCounts) add(other CheckCounts) {
+	c.Returned += other.Returned
+	c.Rented += other.Rented
+	c.Late += other.Late
+	c.AfterRefusal += other.AfterRefusal
+	c.Stale += other.Stale
+	c.Findings = append(c.Findings, other.Findings...)
+}
+
+// Checker is a fake machine service. It carries out rentals and returns, and checks each
+// one that it accepts against the store. It is safe for concurrent use.
 type Checker struct {
 	state    *standin.State
 	capacity int
-	fenced   bool // whether duties are on: else the epoch alone tells who may act
+	fenced   bool // duties are on; otherwise the epoch alone tells who may act
 
 	mu       sync.Mutex
 	machines map[string]bool
-	answered map[string][]string
-	refused  map[string]bool // requests, for capacity
+	answered map[string][]string // machines rented, by request name
+	refused  map[string]bool     // request names that were refused for lack of capacity
 	counts   CheckCounts
 }
 
-// NewChecker makes a Checker for a fleet of at most capacity machines; fenced tells
+// NewChecker returns a Checker for a fleet of at most capacity machines. fenced tells
 // whether duties are on.
 func NewChecker(state *standin.State, capacity int, fenced bool) *Checker {
 	return &Checker{state: state, capacity: capacity, fenced: fenced, machines: map[string]bool{}, answered: map[string][]string{}, refused: map[string]bool{}}
 }
 
-// Counts returns what was accepted so far.
+// Counts returns the counts so far.
 func (c *Checker) Counts() CheckCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.counts
 }
 
-// list lists the machines that there are.
+// list returns the machines that are rented, sorted by name.
 func (c *Checker) list() (machines []wire.Machine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,19 +85,15 @@
 	return machines
 }
 
-// rent carries out a rental that a controller has sent.
+// rent carries out a rental that a controller has sent, and returns the machines' names;
+// none if there is no capacity.
 func (c *Checker) rent(sender string, req wire.RentRequest) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if names, ok := c.answered[req.Request]; ok {
 		return names
 	}
-	var names []string
-	for len(names) < req.Count && len(c.machines) < c.capacity {
-		c.counts.Rented++
-		names = append(names, fmt.Sprintf("host-%06d", c.counts.Rented))
-		c.machines[names[len(names)-1]] = true
-	}
+	names := c.addMachinesLocked(req.Count)
 	if len(names) == 0 {
 		c.refused[req.Request] = true
 		return nil
@@ -100,12 +106,23 @@
 		case c.refused[req.Request]:
 			c.counts.AfterRefusal++
 		default:
-			c.recordStaleLocked("%s, replaced, rented %v without a record", sender, names)
+			c.recordStaleLocked("%s, replaced, rented %v without an intent", sender, names)
 		}
 	}
 	return names
 }
 
+// addMachinesLocked adds up to count machines, as many as the capacity allows.
+func (c *Checker) addMachinesLocked(count int) (names []string) {
+	for len(names) < count && len(c.machines) < c.capacity {
+		c.counts.Rented++
+		name := fmt.Sprintf("host-%06d", c.counts.Rented)
+		c.machines[name] = true
+		names = append(names, name)
+	}
+	return names
+}
+
 // returnMachines carries out a return that a controller has sent.
 func (c *Checker) returnMachines(sender string, machines []string) {
 	c.mu.Lock()
@@ -113,18 +130,18 @@
 	replaced := c.replaced(sender, reclaimHolderKey)
 	for _, name := range machines {
 		if !c.machines[name] {
-			continue // gone already: nothing is done
+			continue // already returned
 		}
 		delete(c.machines, name)
 		c.counts.Returned++
 		if replaced {
 			c.counts.Late++
 		}
-		switch condemned := c.firstRevisionNaming(condemnedPrefix, name); {
-		case replaced && condemned == 0:
-			c.recordStaleLocked("%s, replaced, returned %s without a record", sender, name)
-		case c.state.Version(workPrefix+name) > condemned:
-			c.recordStaleLocked("%s returned %s, on which work was placed since", sender, name)
+		switch recorded := c.firstRevisionNaming(returnPrefix, name); {
+		case replaced && recorded == 0:
+			c.recordStaleLocked("%s, replaced, returned %s without an intent", sender, name)
+		case c.state.Version(workPrefix+name) > recorded:
+			c.recordStaleLocked("%s returned %s after work was placed on it", sender, name)
 		}
 	}
 }
@@ -134,15 +151,16 @@
 	c.counts.Findings = append(c.counts.Findings, fmt.Sprintf(format, args...))
 }
 
-// replaced tells whether a sender is not the holder by the store.
-func (c *Checker) replaced(sender, key string) bool {
+// replaced tells whether a sender is not the one that a holder record in the store names.
+func (c *Checker) replaced(sender, holderKey string) bool {
 	if !c.fenced {
-		key = epochKey
+		holderKey = epochKey
 	}
-	return holderOf(c.state, key) != sender
+	return holderOf(c.state, holderKey) != sender
 }
 
-// holderOf is whom a record in the store names: a duty's, or the epoch.
+// holderOf returns the node that a record in the store names: the holder of a duty, or
+// the leader of the epoch.
 func holderOf(state *standin.State, key string) string {
 	var record struct {
 		Node   string `json:"node"`
@@ -152,10 +170,10 @@
 	return record.Node + record.Leader
 }
 
-// firstRevisionNaming returns the first revision at which a value below a prefix that is still there
-// names something, 0 if none does.
-func (c *Checker) firstRevisionNaming(below, name string) (revision uint64) {
-	for _, item := range c.state.Items(below) {
+// firstRevisionNaming returns the lowest version of the keys below a prefix whose values
+// contain a name; 0 if there is none.
+func (c *Checker) firstRevisionNaming(prefix, name string) (revision uint64) {
+	for _, item := range c.state.Items(prefix) {
 		if strings.Contains(string(item.Value), `"`+name+`"`) && (revision == 0 || item.Version < revision) {
 			revision = item.Version
 		}
--- a/internal/failovertest/doc.go
+++ b/internal/failovertest/doc.go
@@ -1,7 +1,9 @@
-// Package failovertest is a failover test harness for single duties. Small controllers
-// that hold leased, fenced duties are frozen, killed and resumed at chosen points of
-// their actions; a fault-injecting proxy delays, duplicates and drops their requests;
-// and a checker, which stands in for the machine service, checks every action it
-// accepts against the store for stale or late writes. It runs in one process under a
-// fake clock, or with real processes over loopback (cmd/failovertest).
+// Package failovertest is a failover test harness for single duties (package duty).
+//
+// A Coordinator forces handovers between the Nodes of a group: small controllers that it
+// freezes, kills and resumes at chosen points of their actions. Each Node reaches the store
+// and the machine service through a Proxy, which delays, duplicates and drops requests. The
+// machine service is a Checker, which compares every action it accepts with the store. The
+// harness runs in one process under a fake clock, or with real processes over loopback
+// (cmd/failovertest).
 package failovertest
--- a/internal/failovertest/node.go
+++ b/internal/failovertest/node.go
@@ -17,17 +17,19 @@
 	"heronwick/wire"
 )
 
-// epoch is who leads, and since which version of the epoch each node belongs to it.
+// epoch is the stored value of the epoch.
 type epoch struct {
-	Leader string            `json:"leader"`
-	Nodes  map[string]uint64 `json:"members"`
-	// Quiet: what was begun is finished, and nothing new is.
+	Leader string `json:"leader"`
+	// Nodes gives the version of the epoch since which each node is a member; 0: it is none.
+	Nodes map[string]uint64 `json:"members"`
+	// Quiet tells nodes to complete what was begun and to begin nothing.
 	Quiet bool `json:"quiet"`
 }
 
-// Machines are those that a service rents.
+// Machines is the machine service: a Provider that also lists its machines.
 type Machines interface {
 	duty.Provider
+	// List returns the machines that are rented.
 	List(ctx context.Context) ([]wire.Machine, error)
 }
 
@@ -37,12 +39,12 @@
 	Lease          time.Duration // 0: duties are off
 	State          state.Transport
 	Provider       Machines
-	Seed           uint64
-	ActionInterval time.Duration // between two actions
+	Seed           uint64        // of the node's choices, and its incarnation
+	ActionInterval time.Duration // mean time between two actions
 	Log            *slog.Logger
 }
 
-// Node is a small controller: while it leads it rents machines, places on them and
+// Node is a small controller. While it leads it rents machines, places work on them and
 // returns them.
 type Node struct {
 	opts    NodeOptions
@@ -51,78 +53,108 @@
 	keeper  *duty.Keeper
 	actions *duty.Actions
 	random  *rand.Rand
-	rented  int
+	rented  int // requests made, for their names
 
 	mu       sync.Mutex
 	epoch    epoch
-	version  uint64
-	revision uint64
+	version  uint64 // of the epoch
+	revision uint64 // everything in the store up to here has been seen
 }
 
-// Limits of the store, as in the deployments.
+// Limits of the store, as in deployments but for the rate of requests.
 const (
-	maxChanges = 16
-	maxValue   = 2 << 10
-	unlimited  = 1000 // requests a second
+	maxChanges = 16      // of a transaction
+	valueBytes = 2 << 10 // of a value
+	unlimited  = 1000    // requests a second
 )
 
-// NewNode makes a Node; Run starts it.
+// Pauses before a failed request is repeated.
+const (
+	watchRetryInterval  = 100 * time.Millisecond
+	returnRetryInterval = 200 * time.Millisecond
+)
+
+// NewNode returns a Node that does nothing until Run is called.
 func NewNode(opts NodeOptions) *Node {
 	n := &Node{opts: opts, ledger: duty.NewLedger(opts.Log), random: rand.New(rand.NewPCG(opts.Seed, 1))}
 	n.client = state.NewClient(opts.State, state.NewBudget(unlimited, unlimited, maxChanges))
 	history := duty.NewHistory()
-	n.keeper = duty.NewKeeper(duty.KeeperOptions{Node: opts.Name, Incarnation: opts.Seed, Lease: opts.Lease, Store: n.client, Ledger: n.ledger,
-		Ready: func() bool { return true }, Membership: n.membership, MaxChanges: maxChanges, History: history, Log: opts.Log})
-	n.actions = duty.NewActions(duty.ActionsOptions{Node: opts.Name, Provider: opts.Provider, Keeper: n.keeper, Ledger: n.ledger,
-		Committer: state.NewCommitter(n.client, maxChanges), Membership: n.membership, ValueBytes: maxValue, History: history, Log: opts.Log})
+	n.keeper = duty.NewKeeper(duty.KeeperOptions{
+		Node: opts.Name, Incarnation: opts.Seed, Lease: opts.Lease, Store: n.client, Ledger: n.ledger,
+		Ready: func() bool { return true }, Membership: n.membership, MaxChanges: maxChanges, History: history, Log: opts.Log,
+	})
+	n.actions = duty.NewActions(duty.ActionsOptions{
+		Node: opts.Name, Provider: opts.Provider, Keeper: n.keeper, Ledger: n.ledger,
+		Committer: state.NewCommitter(n.client, maxChanges), Membership: n.membership, ValueBytes: valueBytes, History: history, Log: opts.Log,
+	})
 	return n
 }
 
+// membership returns the epoch as the duties see it.
 func (n *Node) membership() duty.Membership {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return duty.Membership{Epoch: wire.Condition{Key: epochKey, Version: n.version}, Since: n.epoch.Nodes[n.opts.Name],
-		Leads: n.epoch.Leader == n.opts.Name, Members: n.epoch.Nodes, Fresh: n.revision >= n.version}
+	return duty.Membership{
+		Epoch: wire.Condition{Key: epochKey, Version: n.version}, Since: n.epoch.Nodes[n.opts.Name],
+		Leads: n.epoch.Leader == n.opts.Name, Members: n.epoch.Nodes, Fresh: n.revision >= n.version,
+	}
 }
 
-// Run runs the node until ctx ends.
+// Run acts until ctx ends, and returns when all that it started has ended.
 func (n *Node) Run(ctx context.Context) {
 	var group sync.WaitGroup
 	group.Go(func() { n.watch(ctx) })
 	group.Go(func() { _ = n.keeper.Run(ctx) })
-	for wait.Sleep(ctx, n.opts.ActionInterval/2+time.Duration(n.random.Int64N(int64(n.opts.ActionInterval)))) {
+	for wait.Sleep(ctx, n.nextPause()) {
 		n.step(ctx)
 	}
 	group.Wait()
 }
 
+// nextPause draws the pause before the next action: the interval, give or take half.
+func (n *Node) nextPause() time.Duration {
+	return n.opts.ActionInterval/2 + time.Duration(n.random.Int64N(int64(n.opts.ActionInterval)))
+}
+
 // watchTimeout is how long a watch waits for a change.
 const watchTimeout = 4 * time.Second
 
-// watch follows the epoch and the duties.
+// watch keeps the epoch and the ledger up to date until ctx ends.
 func (n *Node) watch(ctx context.Context) {
 	for revision := uint64(0); ctx.Err() == nil; {
 		events, err := n.client.Watch(ctx, clusterPrefix, revision, watchTimeout)
 		if err != nil {
-			wait.Sleep(ctx, 100*time.Millisecond)
+			wait.Sleep(ctx, watchRetryInterval)
 			continue
 		}
 		revision = max(revision, events.Revision)
 		n.ledger.Apply(events.Events, revision)
-		n.mu.Lock()
-		n.revision = revision
-		for _, e := range events.Events {
-			if e.Put == epochKey {
-				n.epoch, n.version = epoch{}, e.Version
-				_ = json.Unmarshal(e.Value, &n.epoch)
-			}
-		}
-		n.mu.Unlock()
+		n.apply(events.Events, revision)
 		n.keeper.Poke()
 	}
 }
 
-// fence ties what is written to the epoch.
+// apply takes the epoch from the events up to a revision.
+func (n *Node) apply(events []wire.Event, revision uint64) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.revision = revision
+	for _, event := range events {
+		if event.Put == epochKey {
+			n.epoch, n.version = epoch{}, event.Version
+			_ = json.Unmarshal(event.Value, &n.epoch)
+		}
+	}
+}
+
+// quiet tells whether the epoch wants nothing new begun.
+func (n *Node) quiet() bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.epoch.Quiet
+}
+
+// fence returns the condition that makes a write fail under a newer epoch.
 func (n *Node) fence() state.FencingCondition {
 	condition := n.membership().Epoch
 	return state.FencingCondition{Condition: condition, Current: func() bool { return n.membership().Epoch == condition }}
@@ -133,7 +165,15 @@
 	reclaimDuty = duty.ID{Name: duty.Reclaim, Scope: duty.Fleet}
 )
 
-// step finishes what former holders have begun, or acts anew.
+// An action is drawn from so many values: one rents, the next ones up to returnAction return
+// a machine, and the others place work on one.
+const (
+	rentAction   = 0
+	returnAction = 2
+	actionDraws  = 5
+)
+
+// step completes what earlier holders have begun, and then takes one action at random.
 func (n *Node) step(ctx context.Context) {
 	n.actions.CloseReturns(ctx, duty.ID{Name: duty.Cleanup, Scope: duty.Share(n.opts.Name)}, func(string) bool { return true })
 	if !n.membership().Leads {
@@ -145,60 +185,68 @@
 	for _, open := range n.actions.OpenRentals() {
 		n.rent(ctx, open)
 	}
-	n.mu.Lock()
-	quiet := n.epoch.Quiet
-	n.mu.Unlock()
+	quiet := n.quiet()
 	machines, _ := n.opts.Provider.List(ctx)
-	switch action := n.random.IntN(5); {
+	switch action := n.random.IntN(actionDraws); {
 	case quiet:
-	case action == 0 || len(machines) == 0:
+	case action == rentAction || len(machines) == 0:
 		n.rentNew(ctx)
 	default:
-		n.useMachine(ctx, machines[n.random.IntN(len(machines))].ID, action < 3)
+		n.useMachine(ctx, machines[n.random.IntN(len(machines))].ID, action <= returnAction)
 	}
 }
 
-// useMachine returns a machine if it is idle, or places on it, or ends what is placed there.
-func (n *Node) useMachine(ctx context.Context, machine string, giveBack bool) {
-	key, epoch := workPrefix+machine, n.fence().Condition
+// useMachine returns a machine if that is wanted and it is idle. Otherwise it places work
+// on the machine, or removes the work placed there.
+func (n *Node) useMachine(ctx context.Context, machine string, returnIdle bool) {
+	key, epochCondition := workPrefix+machine, n.fence().Condition
 	item, err := n.client.Get(ctx, state.Placement, key)
 	idle := errors.Is(err, state.ErrNotFound)
-	if giveBack && idle {
+	if returnIdle && idle {
 		n.reclaim(ctx, []string{machine})
 	}
 	guard, refused := n.actions.Guard(reclaimDuty)
-	if giveBack || refused != nil || err != nil && !idle || n.actions.Condemned(machine) {
+	if returnIdle || refused != nil || err != nil && !idle || n.actions.Condemned(machine) {
 		return
 	}
 	change := wire.Change{Delete: key}
 	if idle {
 		change = wire.Change{Put: key, Value: json.RawMessage(`{}`)}
 	}
-	_, _ = n.client.Txn(ctx, state.Placement, wire.Txn{
-		If:   append(guard.Conditions(), epoch, wire.Condition{Key: key, Version: item.Version}),
+	_, _ = n.client.Txn(ctx, state.Placement, wire.Txn{ // if it fails, the next action finds out
+		If:   append(guard.Conditions(), epochCondition, wire.Condition{Key: key, Version: item.Version}),
 		Then: []wire.Change{change},
 	})
 }
 
+// reclaim records the return of machines and repeats it until it is answered.
 func (n *Node) reclaim(ctx context.Context, machines []string) {
-	condemnation, err := n.actions.Condemn(ctx, reclaimDuty, n.fence(), machines, "idle")
-	for err == nil && n.actions.GiveBack(ctx, condemnation) != nil && wait.Sleep(ctx, 200*time.Millisecond) {
+	intent, err := n.actions.Condemn(ctx, reclaimDuty, n.fence(), machines, "idle")
+	if err != nil {
+		return
+	}
+	for n.actions.GiveBack(ctx, intent) != nil && wait.Sleep(ctx, returnRetryInterval) {
 		continue
 	}
 }
 
+// maxRented is how many machines one request asks for at most.
+const maxRented = 3
+
+// rentNew records and sends a new request of machines.
 func (n *Node) rentNew(ctx context.Context) {
 	guard, err := n.actions.Guard(rentDuty)
 	if err != nil {
 		return
 	}
 	n.rented++
-	request := wire.RentRequest{Request: fmt.Sprintf("%s-%d", n.opts.Name, n.rented), Type: "m", Zone: "z", Count: 1 + n.random.IntN(3)}
+	request := wire.RentRequest{Request: fmt.Sprintf("%s-%d", n.opts.Name, n.rented), Type: "m", Zone: "z", Count: 1 + n.random.IntN(maxRented)}
 	if open, err := n.actions.RecordRentals(ctx, guard, n.fence(), []wire.RentRequest{request}); err == nil {
 		n.rent(ctx, open)
 	}
 }
 
+// rent sends the requests of an open intent and closes it if all were answered.
 func (n *Node) rent(ctx context.Context, open duty.OpenRental) {
 	guard, err := n.actions.Guard(rentDuty)
 	for _, request := range open.Requests {
--- a/internal/failovertest/proxy.go
+++ b/internal/failovertest/proxy.go
@@ -13,51 +13,66 @@
 	"heronwick/wire"
 )
 
-// FreezePoint is a moment of a controller's action, as the world outside sees it.
+// FreezePoint is a point of a controller's action, as its requests show it.
 type FreezePoint int
 
-// The points at which a controller can be frozen. What it has sent before an answer is
-// carried out once it goes on, or after its end.
+// The points at which a controller can be frozen. A request that it has sent is carried
+// out once it is resumed, or after it was killed.
 const (
-	Reading FreezePoint = iota // before it knows what it will act on
-	BeforeWrite
-	WriteUnanswered // between an intent and the request
-	BeforeRequest
-	RequestUnanswered // between the request and its record
-	WhileClosing
-	NumFreezePoints
+	Reading           FreezePoint = iota // around a read of the store
+	BeforeWrite                          // before a transaction is sent
+	WriteUnanswered                      // the transaction is carried out, its answer not delivered
+	BeforeRequest                        // before a request to the machine service is sent
+	RequestUnanswered                    // the request is carried out, its answer not delivered
+	WhileClosing                         // around the removal of a key
+	NumFreezePoints                      // how many there are; no point itself
 )
 
-// String implements fmt.Stringer.
-func (p FreezePoint) String() string {
-	return [...]string{"reading", "before a write", "before a write's answer", "before a request", "before a request's answer", "while closing an intent"}[p]
-}
+// freezePointNames are the names of the points, by point.
+var freezePointNames = [NumFreezePoints]string{"reading", "before a write", "before a write's answer", "before a request", "before a request's answer", "while closing an intent"}
+
+// String returns the point's name.
+func (p FreezePoint) String() string { return freezePointNames[p] }
 
-// MaxDelay is how late a request is carried out at most.
+// MaxDelay is the longest delay of a request that the Proxy delays.
 const MaxDelay = 20 * time.Second
 
+// fault is what the Proxy does to a request to the machine service. Any value above
+// replyLost is no fault.
+type fault int
+
+const (
+	delayed    fault = iota // carried out late, and not answered
+	duplicated              // carried out at once and again late
+	replyLost               // carried out at once, and not answered
+)
+
+// faultDraws is how many values a fault is drawn from: three requests in sixteen fail.
+const faultDraws = 16
+
 // Proxy is a fault-injecting proxy through which one controller reaches the store and the
-// machine service. Three requests in sixteen to the latter are carried out late, or twice, or lose
-// their answer. Nothing passes while the controller is frozen.
+// machine service. Some requests to the latter suffer a fault. Nothing passes while the
+// controller is frozen.
 type Proxy struct {
 	checker *Checker
 	node    string
 	store   *standin.Conn
-	freeze  func() // stops the controller itself
+	freeze  func() // pauses the controller itself
 
 	mu     sync.Mutex
 	random *rand.Rand
-	armed  bool
-	at     FreezePoint
-	resume chan struct{} // nil: it is not frozen
+	armed  bool          // the controller is to be frozen at the point
+	at     FreezePoint   // when armed
+	resume chan struct{} // closed when the controller is resumed; nil: it is not frozen
 }
 
-// NewProxy makes the proxy of the controller called name; freeze stops the controller.
+// NewProxy returns the proxy of the controller called name. freeze pauses the controller
+// and is called under the Proxy's lock; seed determines the faults.
 func NewProxy(checker *Checker, name string, seed uint64, freeze func()) *Proxy {
 	return &Proxy{checker: checker, node: name, store: checker.state.Connect(name), freeze: freeze, random: rand.New(rand.NewPCG(seed, 2))}
 }
 
-// Arm freezes the controller when it next comes to a point.
+// Arm makes the controller freeze when it next reaches a point.
 func (p *Proxy) Arm(at FreezePoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,67 +86,78 @@
 	return p.resume != nil
 }
 
-// Resume disarms the proxy and lets pass what waits.
+// Resume disarms the proxy and lets the requests pass that wait.
 func (p *Proxy) Resume() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.armed = false; p.resume != nil {
+	p.armed = false
+	if p.resume != nil {
 		close(p.resume)
 		p.resume = nil
 	}
 }
 
-// pauseAt freezes the controller if it is to be frozen at a point, and waits while it is.
-func (p *Proxy) pauseAt(to FreezePoint) {
+// pauseAt freezes the controller if it is to be frozen at a point, and waits while it is
+// frozen.
+func (p *Proxy) pauseAt(point FreezePoint) {
 	p.mu.Lock()
-	if p.armed && p.at == to && p.resume == nil {
+	if p.armed && p.at == point && p.resume == nil {
 		p.armed, p.resume = false, make(chan struct{})
 		p.freeze()
 	}
-	closed := p.resume
+	resumed := p.resume
 	p.mu.Unlock()
-	if closed != nil {
-		<-closed
+	if resumed != nil {
+		<-resumed
 	}
 }
 
-// Do implements state.Doer.
-func (p *Proxy) Do(ctx context.Context, method, target string, body []byte) (int, []byte, error) {
-	before, after := Reading, Reading
+// removalField is the JSON field of a wire.Change that removes a key.
+var removalField = []byte(`"drop"`)
+
+// freezePoints returns the points before and after a request to the store. Leases and
+// watches have none, but do not pass while the controller is frozen either.
+func freezePoints(target string, body []byte) (before, after FreezePoint) {
 	switch {
 	case target != wire.PathTxn && !strings.HasPrefix(target, wire.PathKeys+"/"):
-		before, after = NumFreezePoints, NumFreezePoints // a lease or a watch: no point, but nothing passes
-	case bytes.Contains(body, []byte(`"drop"`)):
-		before, after = WhileClosing, WhileClosing
+		return NumFreezePoints, NumFreezePoints
+	case bytes.Contains(body, removalField):
+		return WhileClosing, WhileClosing
 	case target == wire.PathTxn:
-		before, after = BeforeWrite, WriteUnanswered
+		return BeforeWrite, WriteUnanswered
 	}
+	return Reading, Reading
+}
+
+// Do implements state.Transport.
+func (p *Proxy) Do(ctx context.Context, method, target string, body []byte) (int, []byte, error) {
+	before, after := freezePoints(target, body)
 	p.pauseAt(before)
 	status, reply, err := p.store.Do(ctx, method, target, body)
 	p.pauseAt(after)
 	return status, reply, err
 }
 
-// deliver carries a request out, now, late or both, and tells whether it is answered.
+// deliver carries out a request to the machine service, with the fault that is drawn, and
+// tells whether it is answered.
 func (p *Proxy) deliver(carryOut func()) (answered bool) {
 	p.mu.Lock()
-	fault, delay := p.random.IntN(16), time.Duration(p.random.Int64N(int64(MaxDelay)))
+	drawn, delay := fault(p.random.IntN(faultDraws)), time.Duration(p.random.Int64N(int64(MaxDelay)))
 	p.mu.Unlock()
-	const delayedOnly, duplicated, replyLost = 0, 1, 2
 	p.pauseAt(BeforeRequest)
-	if fault == delayedOnly || fault == duplicated {
+	if drawn == delayed || drawn == duplicated {
 		time.AfterFunc(delay, carryOut)
 	}
-	if fault != delayedOnly {
+	if drawn != delayed {
 		carryOut()
 	}
 	p.pauseAt(RequestUnanswered)
-	return fault != delayedOnly && fault != replyLost
+	return drawn != delayed && drawn != replyLost
 }
 
-// Rent implements duty.Provider.
+// Rent implements duty.Provider. A request without an answer is cloud.ErrUnavailable.
 func (p *Proxy) Rent(_ context.Context, req wire.RentRequest) ([]string, error) {
-	rented := make(chan []string, 2)
+	rented := make(chan []string, 2) // a duplicated request answers twice
 	if !p.deliver(func() { rented <- p.checker.rent(p.node, req) }) {
 		return nil, cloud.ErrUnavailable
 	}
@@ -141,7 +167,7 @@
 	return nil, cloud.ErrNoCapacity
 }
 
-// Return implements duty.Provider.
+// Return implements duty.Provider. A request without an answer is cloud.ErrUnavailable.
 func (p *Proxy) Return(_ context.Context, machines []string) error {
 	if !p.deliver(func() { p.checker.returnMachines(p.node, machines) }) {
 		return cloud.ErrUnavailable
@@ -149,5 +175,5 @@
 	return nil
 }
 
-// List lists the machines.
+// List implements Machines.
 func (p *Proxy) List(context.Context) ([]wire.Machine, error) { return p.checker.list(), nil }
