--- a/internal/standin/state_faults.go
+++ b/internal/standin/state_faults.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// LowerLimits lowers the limits of a value and of a transaction's changes. What is
-// stored stays readable.
+// LowerLimits sets the limits of a value's size and of a transaction's changes, and resets
+// TooLarge. Larger values that are stored stay readable.
 func (s *State) LowerLimits(valueBytes, ops int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ValueBytes, s.Ops, s.TooLarge = valueBytes, ops, 0
 }
 
-// SetOutage starts or ends an outage. When it is over, every lease has its
-// full time again.
+// SetOutage starts or ends an outage, in which requests are answered 503, watches stay open
+// without events, and no lease expires. When it is over, every lease has its full TTL
+// again.
 func (s *State) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -28,11 +29,12 @@
 	}
 }
 
-// RejectNode answers one node with 503, or serves it again.
+// RejectNode answers the requests of one node with 503, or serves it again. Its watches stay
+// open, without events.
 func (s *State) RejectNode(node string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refused[node] = on
+	s.rejectedNodes[node] = on
 }
 
 // DropResponses carries out the next n transactions without a response.
@@ -49,8 +51,8 @@
 	s.holdTransactions = n
 }
 
-// ReleaseTransactions carries out what was held back, late, and returns the statuses
-// that nobody gets to see.
+// ReleaseTransactions carries out the transactions that were held back, and returns their
+// HTTP statuses, which no caller sees.
 func (s *State) ReleaseTransactions() []int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,10 +65,10 @@
 	return statuses
 }
 
-// maxPast bounds the transactions that can be repeated.
-const maxPast = 100
+// maxReplayed bounds the transactions that can be replayed.
+const maxReplayed = 100
 
-// ReplayTransactions carries out again, late, what was carried out a while ago.
+// ReplayTransactions carries out again the last transactions that were carried out.
 func (s *State) ReplayTransactions() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,9 +77,9 @@
 	}
 }
 
-// DelayResponses has answers arrive so much later than they were true; 0 ends that.
-func (s *State) DelayResponses(by time.Duration) {
+// DelayResponses delays every response after its request is carried out; 0 ends that.
+func (s *State) DelayResponses(delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.responseDelay = by
+	s.responseDelay = delay
 }
--- /dev/null
+++ b/internal/standin/state_lease.go
@@ -0,0 +1,60 @@
+package standin
+
+import (
+	"encoding/json"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"heronwick/wire"
+)
+
+// lease is a lease of the store; its keys are removed when the timer fires.
+type lease struct {
+	ttl   time.Duration
+	timer *time.Timer
+}
+
+// grantLeaseLocked grants a lease of the requested TTL, which expires unless renewed.
+func (s *State) grantLeaseLocked(body []byte) (int, []byte, error) {
+	var req wire.LeaseRequest
+	if json.Unmarshal(body, &req) != nil {
+		return http.StatusBadRequest, nil, nil
+	}
+	s.lastLease++
+	id, ttl := s.lastLease, time.Duration(req.TTLMs)*time.Millisecond
+	s.leases[id] = &lease{ttl: ttl, timer: time.AfterFunc(ttl, func() { s.expire(id) })}
+	return http.StatusOK, encode(wire.Lease{ID: id}), nil
+}
+
+// renewLeaseLocked restarts the TTL of the lease whose ID is in the path; 404 once it has
+// expired.
+func (s *State) renewLeaseLocked(path string) (int, []byte, error) {
+	id, _ := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64)
+	l := s.leases[id]
+	if l == nil {
+		return http.StatusNotFound, nil, nil
+	}
+	l.timer.Reset(l.ttl)
+	return http.StatusOK, []byte("{}"), nil
+}
+
+// expire removes a lease and its keys.
+func (s *State) expire(id uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.leases[id] == nil {
+		return
+	}
+	delete(s.leases, id)
+	var removals []wire.Change
+	for key, item := range s.items {
+		if item.Lease == id {
+			removals = append(removals, wire.Change{Delete: key})
+		}
+	}
+	if len(removals) > 0 {
+		s.txnLocked(wire.Txn{Then: removals})
+	}
+}
--- /dev/null
+++ b/internal/standin/state_txn.go
@@ -0,0 +1,58 @@
+package standin
+
+import (
+	"net/http"
+
+	"heronwick/wire"
+)
+
+// txnLocked carries out a transaction and returns its HTTP status and reply: 409 with the
+// failed conditions, 400 if it is too large or names a lease that does not exist.
+func (s *State) txnLocked(txn wire.Txn) (int, wire.TxnReply) {
+	s.Writes += len(txn.Then)
+	if s.tooLargeLocked(txn) {
+		s.TooLarge++
+		return http.StatusBadRequest, wire.TxnReply{}
+	}
+	if failed := s.failedLocked(txn.If); len(failed) > 0 {
+		return http.StatusConflict, wire.TxnReply{Failed: failed, Revision: s.revision}
+	}
+	for _, change := range txn.Then {
+		if change.Lease != 0 && s.leases[change.Lease] == nil {
+			return http.StatusBadRequest, wire.TxnReply{}
+		}
+	}
+	if len(txn.Then) == 0 {
+		return http.StatusOK, wire.TxnReply{Revision: s.revision}
+	}
+	s.applyLocked(txn)
+	return http.StatusOK, wire.TxnReply{Revision: s.revision}
+}
+
+// failedLocked returns the keys of the conditions that do not hold.
+func (s *State) failedLocked(conditions []wire.Condition) (failed []string) {
+	for _, condition := range conditions {
+		if s.items[condition.Key].Version != condition.Version {
+			failed = append(failed, condition.Key)
+		}
+	}
+	return failed
+}
+
+// applyLocked makes a transaction's changes at a new revision and wakes the watches.
+func (s *State) applyLocked(txn wire.Txn) {
+	s.revision++
+	s.applied = append(s.applied, txn)
+	s.applied = s.applied[max(0, len(s.applied)-maxReplayed):]
+	for _, change := range txn.Then {
+		if change.Put != "" {
+			s.items[change.Put] = wire.Item{Key: change.Put, Value: change.Value, Version: s.revision, Lease: change.Lease}
+			s.events = append(s.events, wire.Event{Put: change.Put, Value: change.Value, Version: s.revision})
+		} else {
+			delete(s.items, change.Delete)
+			s.events = append(s.events, wire.Event{Delete: change.Delete, Version: s.revision})
+		}
+	}
+	close(s.changed)
+	s.changed = make(chan struct{})
+}
--- /dev/null
+++ b/internal/standin/state_watch.go
@@ -0,0 +1,55 @@
+package standin
+
+import (
+	"cmp"
+	"context"
+	"net/http"
+	"net/url"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"heronwick/wire"
+)
+
+// watch answers a watch: the events after a revision, or none once its time is over. It
+// stays open, without events, while its node is rejected or the store has an outage.
+func (s *State) watch(ctx context.Context, node string, query url.Values) (int, []byte, error) {
+	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
+	milliseconds, _ := strconv.Atoi(query.Get("wait_ms"))
+	timeout := time.NewTimer(time.Duration(milliseconds) * time.Millisecond)
+	defer timeout.Stop()
+	for {
+		found, changed := s.eventsSince(after, node, query.Get("under"))
+		if len(found.Events) > 0 {
+			return http.StatusOK, encode(found), nil
+		}
+		select {
+		case <-ctx.Done():
+			return 0, nil, ctx.Err()
+		case <-timeout.C:
+			return http.StatusOK, encode(wire.Events{Revision: after, Events: []wire.Event{}}), nil
+		case <-changed:
+		}
+	}
+}
+
+// eventsSince returns the events after a revision whose keys begin with a prefix, as far as
+// a node may see them, and a channel that is closed at the next change.
+func (s *State) eventsSince(after uint64, node, prefix string) (found wire.Events, changed <-chan struct{}) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.Requests++
+	found.Revision = s.revision
+	if s.outage || s.rejectedNodes[node] {
+		return found, s.changed
+	}
+	first, _ := slices.BinarySearchFunc(s.events, after+1, func(event wire.Event, version uint64) int { return cmp.Compare(event.Version, version) })
+	for _, event := range s.events[first:] {
+		if strings.HasPrefix(event.Put+event.Delete, prefix) {
+			found.Events = append(found.Events, event)
+		}
+	}
+	return found, s.changed
+}
