--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -75,7 +75,7 @@
 	defer s.mu.Unlock()
 	var failed []string
 	for _, lm := range machines {
-		if s.isGoneLocked(lm.ID) || s.opts.Actions.Condemned(lm.ID) {
+		if s.isReleasedLocked(lm.ID) || s.opts.Actions.Condemned(lm.ID) {
 			continue
 		}
 		if node, owned := s.opts.Authority.HeartbeatTarget(lm.ID); owned && node != s.opts.Node {
@@ -94,9 +94,9 @@
 	}
 	// A list lags, and by up to double its usual lag.
 	stuck := s.inventory.Overdue(now, s.bootLimit, 2*s.opts.Settings.ListLag+s.detector.DeadAfter())
-	s.returnNamesLocked(failed, "failed")
-	s.returnNamesLocked(stuck, "never came up")
-	s.returnNamesLocked(s.abandonedLocked(), whyCondemned)
+	s.reclaimLocked(failed, "failed")
+	s.reclaimLocked(stuck, "never came up")
+	s.reclaimLocked(s.abandonedReturnsLocked(), reasonRecordedBefore)
 }
 
 // bootLimit is after how long a machine that has not come up is returned: some
@@ -132,7 +132,7 @@
 		back, warm = idle[:len(idle)-s.idleReserve], keepUnused
 	}
 	back = slices.DeleteFunc(back, func(m *machine) bool { return now.Sub(m.idleSince) <= warm })
-	s.returnLocked(back, "idle")
+	s.returnLocked(back, reasonIdle)
 }
 
 // RentalDemand tells how many tasks of the job machines should be rented for.
@@ -265,7 +265,7 @@
 		s.log.Info("rental not filled", "type", req.Type, "zone", req.Zone, "spot", req.Spot, "asked", req.Count, "got", len(names), "err", err)
 	}
 	for _, name := range names {
-		if s.machines[name] == nil && !s.isGoneLocked(name) && !s.opts.Actions.Condemned(name) {
+		if s.machines[name] == nil && !s.isReleasedLocked(name) && !s.opts.Actions.Condemned(name) {
 			s.inventory.Expect(name, place, now, now)
 		}
 	}
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -155,9 +155,9 @@
 	s.closeIfEmptyLocked(m)
 }
 
-// isGoneLocked tells whether a machine was surely given back to the cloud, by
+// isReleasedLocked tells whether a machine was surely given back to the cloud, by
 // this share or by another.
-func (s *Scheduler) isGoneLocked(name string) bool {
+func (s *Scheduler) isReleasedLocked(name string) bool {
 	if s.inventory.IsReleased(name) {
 		return true
 	}
@@ -169,7 +169,7 @@
 // one just given to it, or one that nobody owns. coming tells that its machine
 // is this share's and will be taken once the records are read.
 func (s *Scheduler) joinLocked(r *wire.Heartbeat, now time.Time) (m *machine, coming bool) {
-	if s.isGoneLocked(r.Machine) {
+	if s.isReleasedLocked(r.Machine) {
 		return nil, false // sent before its machine was returned
 	}
 	node, owned := s.opts.Authority.HeartbeatTarget(r.Machine)
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -8,15 +8,6 @@
 	"heronwick/internal/detector"
 )
 
-// Reasons for which machines are returned whose workers have failed.
-const (
-	whyLost         = "lost"
-	whyUnreachable  = "nothing reaches it"
-	whyQuarantined  = "set aside"
-	whyNoHeartbeats = "it reaches nobody"
-	whyRestarted    = "its worker has started anew"
-)
-
 const (
 	// resignAfter is how long after an election workers still come to controllers that
 	// do not lead, also those that the leader reaches.
@@ -53,20 +44,20 @@
 	s.resignIfPartitionedLocked(assessment, now)
 	raise := false
 	token := s.opts.Authority.Token()
-	returned := map[string][]*machine{} // by why they are returned
+	returned := map[returnReason][]*machine{}
 	for _, m := range s.machines {
 		s.probeIfDueLocked(m, now)
 		s.expireLeaseIfDueLocked(m, now)
-		if why := s.whyReturnLocked(m, assessment, now); why != "" {
-			returned[why] = append(returned[why], m)
+		if reason := s.returnReasonLocked(m, assessment, now); reason != notReturned {
+			returned[reason] = append(returned[reason], m)
 		}
 		if !m.Notice.IsZero() || assessment.HeartbeatsMissing(&m.Worker) {
 			s.drainLocked(m)
 		}
 		raise = raise || m.NeedsHigherFencingToken(token) || s.keptByLeftoversLocked(m, now)
 	}
-	for why, machines := range returned {
-		s.returnLocked(machines, why)
+	for reason, machines := range returned {
+		s.returnLocked(machines, reason)
 	}
 	if raise {
 		s.raiseLocked(now)
@@ -113,25 +104,25 @@
 	return s.detector.LeaseExpiry(&m.Worker, fenced), true
 }
 
-// whyReturnLocked tells why a machine is to be returned; "": it is not.
-func (s *Scheduler) whyReturnLocked(m *machine, assessment *detector.Assessment, now time.Time) string {
+// returnReasonLocked tells why a machine is to be returned, or notReturned.
+func (s *Scheduler) returnReasonLocked(m *machine, assessment *detector.Assessment, now time.Time) returnReason {
 	switch {
 	case m.returning:
-		return ""
-	case m.condemned:
-		return whyCondemned
+		return notReturned
+	case m.returnIntent:
+		return reasonRecordedBefore
 	case assessment.Dead(&m.Worker):
-		return whyLost
+		return reasonLost
 	case s.overdueLocked(m, now):
-		return whyOverdue
+		return reasonOverdueTask
 	case assessment.Unreachable(&m.Worker):
-		return whyUnreachable
+		return reasonUnreachable
 	case m.quarantined && m.ActiveCount() == 0:
-		return whyQuarantined
+		return reasonQuarantined
 	case m.ActiveCount() == 0 && assessment.HeartbeatsMissingForGood(&m.Worker):
-		return whyNoHeartbeats
+		return reasonCannotReport
 	}
-	return ""
+	return notReturned
 }
 
 // overdueLocked tells whether a cancelled job's task may still be there when
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -223,7 +223,7 @@
 
 // acceptsLocked tells whether new tasks may go to the machine, if there is room.
 func (s *Scheduler) acceptsLocked(m *machine, now time.Time) bool {
-	return s.synced(m) && m.Type != nil && !m.returning && !m.condemned && !m.quarantined && m.Responsive() &&
+	return s.synced(m) && m.Type != nil && !m.returning && !m.returnIntent && !m.quarantined && m.Responsive() &&
 		m.Notice.IsZero() && !now.Before(m.cooling) && now.Sub(m.LastHeartbeat) < s.detector.SuspectAfter() && !s.detector.HeartbeatsMissing(&m.Worker, now)
 }
 
--- a/internal/scheduler/probes.go
+++ b/internal/scheduler/probes.go
@@ -82,7 +82,7 @@
 // which it has begun.
 func (s *Scheduler) returnRestartedLocked(m *machine) {
 	m.IncarnationSeenAt = time.Now()
-	s.returnLocked([]*machine{m}, whyRestarted)
+	s.returnLocked([]*machine{m}, reasonRestarted)
 }
 
 // probeSampleLocked asks some workers of each zone that have not been heard for a
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -156,7 +156,7 @@
 		}
 	}
 	for _, name := range adopt {
-		if adopting.machines[name] == nil && s.machines[name] == nil && !s.moving[name] && !s.isGoneLocked(name) {
+		if adopting.machines[name] == nil && s.machines[name] == nil && !s.moving[name] && !s.isReleasedLocked(name) {
 			adopting.machines[name] = &adoptedMachine{machine: fleet.NewMachine(name)}
 		}
 	}
@@ -186,7 +186,7 @@
 // of another's what may be on it of own jobs is tracked. taken is the bucket, if the
 // scheduler takes it over.
 func (s *Scheduler) placeRecordLocked(adopting *adoption, name string, record fleet.Record, taken *bucket) {
-	if s.machines[name] != nil || s.isGoneLocked(name) {
+	if s.machines[name] != nil || s.isReleasedLocked(name) {
 		return
 	}
 	// By this epoch, also while the next one begins: a machine that is ours only by
--- a/internal/scheduler/releases.go
+++ b/internal/scheduler/releases.go
@@ -1,6 +1,17 @@
 package scheduler
 
-import "heronwick/internal/state"
+import (
+	"context"
+	"encoding/json"
+	"time"
+
+	"heronwick/internal/state"
+	"heronwick/internal/wait"
+)
+
+// announceRetryAfter is how long after a batch could not be written the next
+// one is.
+const announceRetryAfter = 500 * time.Millisecond
 
 // releaseNotices are the released machines of which the other controllers are
 // still to be told: none may take one for a machine that is there. The
@@ -17,3 +28,29 @@
 func (n *releaseNotices) batch(limit int) []string {
 	return n.pending[:state.NamesThatFit(n.pending, 0, noticeSyntax, limit)]
 }
+
+// announceReleasesLocked tells the other controllers which machines are
+// released, many in one write.
+func (s *Scheduler) announceReleasesLocked() {
+	if s.notices.sending || len(s.notices.pending) == 0 || !s.loaded {
+		return
+	}
+	s.notices.sending = true
+	names := s.notices.batch(s.valueLimit.Bytes())
+	machines := map[string]json.RawMessage{}
+	for _, name := range names {
+		machines[name] = json.RawMessage("null")
+	}
+	s.goDo(func(ctx context.Context) {
+		err := s.transfer(ctx, "", machines, state.Background)
+		if err != nil {
+			wait.Sleep(ctx, announceRetryAfter)
+		}
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.notices.sending = false
+		if err == nil {
+			s.notices.pending = s.notices.pending[len(names):]
+		}
+	})
+}
--- a/internal/scheduler/returns.go
+++ b/internal/scheduler/returns.go
@@ -12,10 +12,22 @@
 	"heronwick/wire"
 )
 
-// Reasons for which machines are returned that are told apart here.
+// returnReason is why a machine is returned to the cloud. It is logged and
+// stored in the return intent.
+type returnReason string
+
 const (
-	whyOverdue   = "a cancelled task may still be on it"
-	whyCondemned = "condemned by its owner before"
+	notReturned          returnReason = ""
+	reasonIdle           returnReason = "idle"
+	reasonFailed         returnReason = "failed"
+	reasonNeverBooted    returnReason = "never came up"
+	reasonRecordedBefore returnReason = "condemned by its owner before"
+	reasonLost           returnReason = "lost"
+	reasonOverdueTask    returnReason = "a cancelled task may still be on it"
+	reasonUnreachable    returnReason = "nothing reaches it"
+	reasonQuarantined    returnReason = "set aside"
+	reasonCannotReport   returnReason = "it reaches nobody"
+	reasonRestarted      returnReason = "its worker has started anew"
 )
 
 const (
@@ -24,58 +36,70 @@
 	// overdueRecordTime is how long recording the return of a machine may take when a
 	// cancelled task must be gone from it.
 	overdueRecordTime = time.Second
+	// returnRetryAfter and a random part of returnRetryJitter are how long after
+	// a return that failed it is tried again.
+	returnRetryAfter  = 300 * time.Millisecond
+	returnRetryJitter = 400 * time.Millisecond
 	// closeReturnsEvery is how often intents are looked through whose machines are gone.
 	closeReturnsEvery = 3 * time.Second
 )
 
-// returnLocked gives machines of the share back. When the cloud says so, they and all
-// that was on them are gone.
-func (s *Scheduler) returnLocked(machines []*machine, why string) {
-	s.returnUnderLocked(duty.ID{Name: duty.Return, Scope: duty.Share(s.opts.Node)}, machines, why)
+// returnLocked returns machines of this scheduler to the cloud. When the cloud
+// says so, they and all that was on them are gone.
+func (s *Scheduler) returnLocked(machines []*machine, reason returnReason) {
+	s.beginReturnLocked(duty.ID{Name: duty.Return, Scope: duty.Share(s.opts.Node)}, machines, reason)
 }
 
-// returnNamesLocked gives back machines that may have no worker, and that no share
+// reclaimLocked returns machines that may have no worker, and that no scheduler
 // looks after.
-func (s *Scheduler) returnNamesLocked(names []string, why string) {
-	var known []*machine
+func (s *Scheduler) reclaimLocked(names []string, reason returnReason) {
+	var machines []*machine
 	for _, name := range names {
 		m := s.machines[name]
 		if m == nil {
 			m = s.addMachineLocked(fleet.NewMachine(name), time.Now())
 		}
-		known = append(known, m)
+		machines = append(machines, m)
 	}
-	s.returnUnderLocked(duty.ID{Name: duty.Reclaim, Scope: duty.Fleet}, known, why)
+	s.beginReturnLocked(duty.ID{Name: duty.Reclaim, Scope: duty.Fleet}, machines, reason)
 }
 
-func (s *Scheduler) returnUnderLocked(id duty.ID, machines []*machine, why string) {
-	now := time.Now()
+// beginReturnLocked starts to return those of the machines that may be returned
+// now, under a duty.
+func (s *Scheduler) beginReturnLocked(id duty.ID, machines []*machine, reason returnReason) {
+	names := s.selectReturnsLocked(machines, reason, time.Now())
+	if len(names) == 0 {
+		return
+	}
+	fence := s.fenceLocked()
+	s.goDo(func(ctx context.Context) { s.carryOutReturn(ctx, id, fence, names, reason) })
+}
+
+// selectReturnsLocked marks as returning as many of the machines as fit one
+// request and one return intent, and returns their names.
+func (s *Scheduler) selectReturnsLocked(machines []*machine, reason returnReason, now time.Time) []string {
 	var names []string
 	for _, m := range machines {
 		if m.returning || now.Before(m.returnAgain) || len(names) == wire.MaxReturn {
 			continue
 		}
-		if names = append(names, m.Name); s.opts.Actions.MaxCondemned(names) < len(names) {
-			names = names[:len(names)-1]
-			break
+		names = append(names, m.Name)
+		if s.opts.Actions.MaxCondemned(names) < len(names) {
+			return names[:len(names)-1]
 		}
 		m.returning = true
-		s.log.Info("returning machine", "machine", m.Name, "why", why, "tasks", m.ActiveCount(), "suspect", m.quarantined)
+		s.log.Info("returning machine", "machine", m.Name, "why", reason, "tasks", m.ActiveCount(), "quarantined", m.quarantined)
 	}
-	if len(names) == 0 {
-		return
-	}
-	fence := s.fenceLocked()
-	s.goDo(func(ctx context.Context) { s.giveBack(ctx, id, fence, names, why) })
+	return names
 }
 
-// giveBack records that machines are to be returned, and returns them.
-func (s *Scheduler) giveBack(ctx context.Context, id duty.ID, fence state.FencingCondition, names []string, why string) {
-	send, err := s.condemn(ctx, id, fence, names, why)
+// carryOutReturn records that machines are to be returned, and returns them.
+func (s *Scheduler) carryOutReturn(ctx context.Context, id duty.ID, fence state.FencingCondition, names []string, reason returnReason) {
+	send, err := s.recordReturn(ctx, id, fence, names, reason)
 	if err != nil {
 		s.log.Info("machines are not returned for now", "machines", names, "err", err)
 		s.mu.Lock()
-		s.keepLocked(names)
+		s.abortReturnLocked(names)
 		s.mu.Unlock()
 		return
 	}
@@ -85,7 +109,7 @@
 			break
 		}
 		s.log.Info("returning machines failed, trying again", "machines", names, "err", err)
-		if !wait.Sleep(ctx, 300*time.Millisecond+rand.N(400*time.Millisecond)) {
+		if !wait.Sleep(ctx, returnRetryAfter+rand.N(returnRetryJitter)) {
 			return
 		}
 	}
@@ -95,30 +119,32 @@
 	for _, name := range names {
 		s.inventory.MarkReleased(name, now)
 		if m := s.machines[name]; m != nil {
-			s.goneLocked(m)
+			s.removeReleasedLocked(m)
 		}
 	}
 	s.poke()
 }
 
-// condemn records the return and gives what then carries it out. A cancelled task must
-// be gone by a time, also while the store cannot be reached.
-func (s *Scheduler) condemn(ctx context.Context, id duty.ID, fence state.FencingCondition, names []string, why string) (send func(context.Context) error, err error) {
-	recording, overdue := ctx, why == whyOverdue
+// recordReturn records the return intent and gives what then carries it out. A
+// cancelled task must be gone by a time, also while the store cannot be
+// reached: its machine is then returned without an intent.
+func (s *Scheduler) recordReturn(ctx context.Context, id duty.ID, fence state.FencingCondition, names []string, reason returnReason) (send func(context.Context) error, err error) {
+	recording, overdue := ctx, reason == reasonOverdueTask
 	if overdue {
 		var cancel context.CancelFunc
 		recording, cancel = context.WithTimeout(ctx, overdueRecordTime)
 		defer cancel()
 	}
-	condemnation, err := s.opts.Actions.Condemn(recording, id, fence, names, why)
+	intent, err := s.opts.Actions.Condemn(recording, id, fence, names, string(reason))
 	if err != nil && overdue {
 		return func(ctx context.Context) error { return s.opts.Actions.GiveBackUnrecorded(ctx, id, names) }, nil
 	}
-	return func(ctx context.Context) error { return s.opts.Actions.GiveBack(ctx, condemnation) }, err
+	return func(ctx context.Context) error { return s.opts.Actions.GiveBack(ctx, intent) }, err
 }
 
-// keepLocked keeps machines whose return could not be recorded.
-func (s *Scheduler) keepLocked(names []string) {
+// abortReturnLocked keeps machines whose return could not be recorded, and
+// tries again later.
+func (s *Scheduler) abortReturnLocked(names []string) {
 	for _, name := range names {
 		if m := s.machines[name]; m != nil {
 			m.returning, m.returnAgain = false, time.Now().Add(returnAgainAfter)
@@ -126,9 +152,10 @@
 	}
 }
 
-// abandonedLocked returns the condemned machines that are on no record of tasks and
-// whose owners are no members any more. Those with records are adopted first.
-func (s *Scheduler) abandonedLocked() []string {
+// abandonedReturnsLocked returns the machines with return intents that are on no
+// record of tasks and whose owners are no members any more. Those with records
+// are adopted first.
+func (s *Scheduler) abandonedReturnsLocked() []string {
 	if !s.leadsLocked() || s.adopted != s.opts.Authority.Token() || !s.permitted() {
 		return nil
 	}
@@ -141,25 +168,25 @@
 	return names
 }
 
-// cleanupDuty is the duty of removing the share's records.
+// cleanupDuty is the duty of removing this scheduler's records.
 func (s *Scheduler) cleanupDuty() duty.ID {
 	return duty.ID{Name: duty.Cleanup, Scope: duty.Share(s.opts.Node)}
 }
 
-// cleanupGuard returns the right to remove the share's records.
+// cleanupGuard returns the right to remove this scheduler's records.
 func (s *Scheduler) cleanupGuard() (duty.Guard, error) { return s.opts.Actions.Guard(s.cleanupDuty()) }
 
-// closeReturnsLocked removes the intents whose machines are gone, once no other
-// controller takes those for machines that are there.
+// closeReturnsLocked removes the return intents whose machines are released,
+// once no other controller takes those for machines that are there.
 func (s *Scheduler) closeReturnsLocked() {
 	if !s.opts.Actions.Active() || !s.loaded {
 		return
 	}
-	untold := map[string]bool{}
+	unannounced := map[string]bool{}
 	for _, name := range s.notices.pending {
-		untold[name] = true
+		unannounced[name] = true
 	}
 	s.goDo(func(ctx context.Context) {
-		s.opts.Actions.CloseReturns(ctx, s.cleanupDuty(), func(machine string) bool { return !untold[machine] })
+		s.opts.Actions.CloseReturns(ctx, s.cleanupDuty(), func(machine string) bool { return !unannounced[machine] })
 	})
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -117,22 +117,22 @@
 // machine is a machine that the scheduler owns, with its decisions about it.
 type machine struct {
 	detector.Worker
-	bucket      *bucket   // where its record is; nil: it has none
-	elsewhere   []*bucket // that still hold a record of it
-	dirty       bool      // it has attempts that are on no record yet
-	due         bool      // its bucket must be written
-	sending     bool      // a direct command is under way
-	sendAgain   bool
-	looked      uint64 // the pass that found the next two
-	usable      bool
-	free        placement.Resources
-	returning   bool
-	condemned   bool      // an owner before has recorded that it is to be returned
-	returnAgain time.Time // not before then, since the last try was refused
-	quarantined bool      // fails what it starts: no new placements
-	failedJobs  map[string]bool
-	idleSince   time.Time
-	cooling     time.Time // no placements before then
+	bucket       *bucket   // where its record is; nil: it has none
+	elsewhere    []*bucket // that still hold a record of it
+	dirty        bool      // it has attempts that are on no record yet
+	due          bool      // its bucket must be written
+	sending      bool      // a direct command is under way
+	sendAgain    bool
+	looked       uint64 // the pass that found the next two
+	usable       bool
+	free         placement.Resources
+	returning    bool
+	returnIntent bool      // an owner before has recorded that it is to be returned
+	returnAgain  time.Time // not before then, since the last try was refused
+	quarantined  bool      // fails what it starts: no new placements
+	failedJobs   map[string]bool
+	idleSince    time.Time
+	cooling      time.Time // no placements before then
 	// Room that is kept for guests until they ask again: they are not in this
 	// scheduler's queue.
 	reservations []reservation
@@ -271,7 +271,7 @@
 	m := &machine{Worker: detector.NewWorker(fm, now), failedJobs: map[string]bool{}, idleSince: now}
 	m.Type = s.types[m.TypeName]
 	m.base, m.fence = s.epoch.Token, s.epoch.Token
-	m.condemned = s.opts.Actions.Condemned(m.Name)
+	m.returnIntent = s.opts.Actions.Condemned(m.Name)
 	s.machines[m.Name] = m
 	s.inventory.Joined(m.Name)
 	delete(s.answeredEarly, m.Name)
@@ -322,7 +322,7 @@
 		s.summarizeLocked(now)
 	}
 	s.flushLocked(now)
-	s.tellGoneLocked()
+	s.announceReleasesLocked()
 	if now.Sub(s.upkeep.closed) > closeReturnsEvery {
 		s.upkeep.closed = now
 		s.closeReturnsLocked()
