--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -6,6 +6,7 @@
 	"heronwick/internal/fleet"
 	"heronwick/internal/job"
 	"heronwick/internal/placement"
+	"heronwick/internal/queue"
 	"heronwick/wire"
 )
 
@@ -32,7 +33,7 @@
 	if a.Exited() {
 		return
 	}
-	if a.Index >= js.Record.Job.Tasks || js.Done.Has(a.Index) || js.live[a.Index] > 0 {
+	if a.Index >= js.Record.Job.Tasks || js.Done.Has(a.Index) || js.HasAttempt(a.Index) {
 		// Its result is known, or another attempt may be elsewhere: never two.
 		a.Stop = true
 	}
@@ -62,10 +63,9 @@
 		return
 	}
 	a.Counted, a.Zone = true, zone
-	s.used[a.Team] = s.used[a.Team].Plus(a.Size)
+	s.teams.Add(a.Team, a.Size)
 	if js := s.jobs[a.Job]; js != nil {
-		js.live[a.Index]++
-		js.Zones[a.Zone]++
+		js.AttemptAdded(a.Index, a.Zone)
 	}
 }
 
@@ -82,17 +82,9 @@
 		return
 	}
 	a.Counted = false
-	s.used[a.Team] = s.used[a.Team].Minus(a.Size)
-	js := s.jobs[a.Job]
-	if js == nil {
-		return
-	}
-	js.Zones[a.Zone]--
-	if js.live[a.Index]--; js.live[a.Index] <= 0 {
-		delete(js.live, a.Index)
-		if !js.Done.Has(a.Index) && a.Index < js.next {
-			js.retry = append(js.retry, a.Index)
-		}
+	s.teams.Remove(a.Team, a.Size)
+	if js := s.jobs[a.Job]; js != nil {
+		js.AttemptRemoved(a.Index, a.Zone)
 	}
 }
 
@@ -146,7 +138,7 @@
 // stopOthersLocked stops other attempts of a task that is done.
 func (s *Scheduler) stopOthersLocked(done *fleet.Attempt) {
 	js := s.jobs[done.Job]
-	if js == nil || js.live[done.Index] == 0 {
+	if js == nil || !js.HasAttempt(done.Index) {
 		return
 	}
 	for _, m := range s.machines {
@@ -162,16 +154,13 @@
 // failedLocked judges a failure: is it the machine or the job? A machine on
 // which several jobs fail that do not fail elsewhere is set aside; a job that
 // fails on several machines and succeeds on none is tried again ever later.
-func (s *Scheduler) failedLocked(m *machine, js *jobState, a *fleet.Attempt, now time.Time) {
+func (s *Scheduler) failedLocked(m *machine, js *queue.Job, a *fleet.Attempt, now time.Time) {
 	s.log.Info("task failed", "task", a.Task, "attempt", a.Attempt, "machine", m.Name)
 	if js == nil {
 		return
 	}
-	js.FailedOn[m.Name] = true
+	js.AddFailure(m.Name, now)
 	m.failedJobs[a.Job] = true
-	if n := len(js.FailedOn); n >= 2 && !js.Succeeded {
-		js.NotBefore = now.Add(min(30*time.Second, time.Second<<min(n-2, 5)))
-	}
 	evidence := 0
 	for id := range m.failedJobs {
 		if other := s.jobOf(id); other != nil && !other.FailsEverywhere() {
@@ -183,6 +172,3 @@
 		s.log.Info("machine set aside: jobs fail on it that do not fail elsewhere", "machine", m.Name)
 	}
 }
-
-// FailsEverywhere tells whether the job seems to fail everywhere.
-func (js *jobState) FailsEverywhere() bool { return len(js.FailedOn) >= 2 && !js.Succeeded }
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -10,6 +10,7 @@
 	"heronwick/internal/autoscale"
 	"heronwick/internal/cluster/peerpb"
 	"heronwick/internal/placement"
+	"heronwick/internal/queue"
 	"heronwick/internal/state"
 	"heronwick/internal/wait"
 	"heronwick/wire"
@@ -20,8 +21,6 @@
 	keepWarm = 5 * time.Minute
 	// keepUnused is how long it is kept while there are no jobs at all.
 	keepUnused = 30 * time.Second
-	// rentAfter is how long a task must have found no room to be rented for.
-	rentAfter = 300 * time.Millisecond
 	// maxWants bounds the jobs of which a scheduler tells that they find no room.
 	maxWants = 500
 	// cloudEvery is how often it is looked whether to rent or return machines.
@@ -135,14 +134,6 @@
 	s.returnLocked(back, reasonIdle)
 }
 
-// RentalDemand tells how many tasks of the job machines should be rented for.
-func (js *jobState) RentalDemand(now time.Time) int {
-	if js.UnplacedSince.IsZero() || now.Sub(js.UnplacedSince) <= rentAfter || js.FailsEverywhere() {
-		return 0
-	}
-	return js.Unplaced()
-}
-
 // wantsLocked tells the peers what finds no room here: one controller rents,
 // and must know of all that waits, not only of what it is just asked to place.
 func (s *Scheduler) wantsLocked(now time.Time) []*peerpb.Want {
@@ -157,7 +148,7 @@
 
 // unmetDemand is what a job, of any scheduler, finds no room for.
 type unmetDemand struct {
-	job   *jobState
+	job   *queue.Job
 	tasks int
 }
 
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -1,21 +1,6 @@
 package scheduler
 
-import (
-	"time"
-
-	"heronwick/internal/job"
-)
-
-// takeReadinessLocked takes what the job's place in its chain says of it: whether
-// its tasks may start, since when its times count, and how urgent it is.
-func (s *Scheduler) takeReadinessLocked(js *jobState) {
-	standing := s.opts.Jobs.Readiness(js.Record)
-	js.Ready, js.EffectivePriority, js.Deadline = standing.Ready, standing.Rank, standing.Due
-	js.EligibleAt = js.AcceptedAt
-	if standing.ReadyAt.After(js.EligibleAt) {
-		js.EligibleAt = standing.ReadyAt
-	}
-}
+import "heronwick/internal/job"
 
 // effectivePriorityOf is the priority under which a job's tasks run.
 func (s *Scheduler) effectivePriorityOf(r *job.Record) int { return s.opts.Jobs.Readiness(r).Rank }
@@ -31,7 +16,7 @@
 			continue
 		}
 		before := js.EffectivePriority
-		s.takeReadinessLocked(js)
+		js.SetReadiness(s.opts.Jobs.Readiness(js.Record))
 		s.log.Debug("standing changed", "job", id, "ready", js.Ready, "rank", js.EffectivePriority, "due", js.Deadline)
 		if js.EffectivePriority != before {
 			ranks[id] = js.EffectivePriority
@@ -54,12 +39,3 @@
 		}
 	}
 }
-
-// timeToDeadline is how long the job had from its acceptance to be done, zero if it
-// is due at no time.
-func (js *jobState) timeToDeadline() time.Duration {
-	if js.Deadline.IsZero() {
-		return 0
-	}
-	return max(0, js.Deadline.Sub(js.AcceptedAt))
-}
--- a/internal/scheduler/done.go
+++ b/internal/scheduler/done.go
@@ -8,6 +8,7 @@
 
 	"heronwick/internal/completion"
 	"heronwick/internal/job"
+	"heronwick/internal/queue"
 	"heronwick/internal/state"
 	"heronwick/internal/wait"
 )
@@ -88,7 +89,7 @@
 }
 
 // finishLocked writes a job's end once all its tasks are done.
-func (s *Scheduler) finishLocked(js *jobState) {
+func (s *Scheduler) finishLocked(js *queue.Job) {
 	if js.Finishing || js.IsService() || js.Done.Count < js.Record.Job.Tasks {
 		return
 	}
@@ -102,7 +103,7 @@
 
 // finish returns false when nothing is left to do. However often the epoch changes,
 // the end keeps its place among those that wait to be written.
-func (s *Scheduler) finish(ctx context.Context, js *jobState, since time.Time) bool {
+func (s *Scheduler) finish(ctx context.Context, js *queue.Job, since time.Time) bool {
 	s.mu.Lock()
 	id, fence := js.Record.Job.ID, s.fenceLocked()
 	fence.Since = since
--- a/internal/scheduler/hosting.go
+++ b/internal/scheduler/hosting.go
@@ -12,6 +12,7 @@
 	"heronwick/internal/cluster/peerpb"
 	"heronwick/internal/fleet"
 	"heronwick/internal/job"
+	"heronwick/internal/queue"
 	"heronwick/internal/remote"
 	"heronwick/wire"
 )
@@ -53,7 +54,7 @@
 	from       string // the job's owner
 	overloaded bool   // the owner is: no machine is handed over to it
 	record     *job.Record
-	job        *jobState
+	job        *queue.Job
 	wanted     *peerpb.Wanted
 	placed     int // how many of the wanted attempts are placed here
 }
@@ -85,7 +86,7 @@
 
 // hostedJobLocked returns the state of another controller's job, brought up to
 // date by what its owner says of it.
-func (s *Scheduler) hostedJobLocked(record *job.Record, wanted *peerpb.Wanted) *jobState {
+func (s *Scheduler) hostedJobLocked(record *job.Record, wanted *peerpb.Wanted) *queue.Job {
 	js := s.hostedJobs[wanted.Job]
 	if js == nil {
 		js = s.newJob(record)
@@ -162,7 +163,7 @@
 // and as many more idle ones as the job's pending tasks need, but keeps as
 // many as it hands over: the next to ask may need them as much. It returns how
 // many it handed over.
-func (s *Scheduler) handOverForLocked(js *jobState, first *machine, node string, pending int, now time.Time) int {
+func (s *Scheduler) handOverForLocked(js *queue.Job, first *machine, node string, pending int, now time.Time) int {
 	tasksPerMachine := max(1, int(1/max(js.DominantShare, 1e-3)))
 	needed := (pending + tasksPerMachine - 1) / tasksPerMachine
 	chosen := []*machine{first}
@@ -176,7 +177,7 @@
 
 // idleForHandoverLocked returns the idle machines beside first that take a
 // task of the job and may be handed over, by name.
-func (s *Scheduler) idleForHandoverLocked(js *jobState, first *machine, now time.Time) []*machine {
+func (s *Scheduler) idleForHandoverLocked(js *queue.Job, first *machine, now time.Time) []*machine {
 	var idle []*machine
 	for _, m := range s.machines {
 		if m != first && !s.list.Has(m) && s.canHandOverLocked(m, now) && s.fitsLocked(js, m, now) {
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -4,54 +4,12 @@
 	"context"
 	"time"
 
-	"heronwick/internal/completion"
 	"heronwick/internal/job"
-	"heronwick/internal/placement"
+	"heronwick/internal/queue"
 	"heronwick/internal/wait"
 	"heronwick/wire"
 )
 
-// jobState is a job of the share.
-type jobState struct {
-	Record *job.Record
-	Size   placement.Resources
-
-	DominantShare     float64 // the largest part of a machine that a task takes
-	AcceptedAt        time.Time
-	Ready             bool            // all jobs that it needs are done
-	EligibleAt        time.Time       // from when its times but the deadline count: when it was accepted, or became ready
-	Objectives        []time.Duration // objectives, from begin on
-	EffectivePriority int             // of its priority, or of a job that needs it; 0 is the highest
-	Deadline          time.Time       // by when it must be done, for itself or for a job that needs it; zero: at no time
-
-	next  int   // tasks from here on were never queued for another try
-	retry []int // tasks to place again
-	live  map[int]int
-	Zones map[string]int
-
-	Done      *completion.Job
-	Finishing bool // the job's end is being written
-
-	FailedOn          map[string]bool
-	Succeeded         bool
-	NotBefore         time.Time
-	UnplacedSince     time.Time     // since when a task has found no room; zero: none waits
-	ImageFetchTime    time.Duration // about how long its image takes to fetch
-	DeferredSince     time.Time     // since when it leaves room where its image is not to others; zero: it does not
-	ImageWaitSince    time.Time     // since when room beside its image is looked for elsewhere
-	PreemptedAt       time.Time     // when tasks were last stopped for this job
-	NoVictimAt        [2]time.Time  // when none was found to stop, anywhere or beside its image
-	ReportedProgress  job.Progress
-	ProgressChangedAt time.Time // when that last changed
-
-	Requested       int // tasks that another share is being asked to take
-	Hosted          bool
-	OwnerGuaranteed bool // a guest: its owner says that it is within its team's guarantee
-
-	OwnerUnplaced int       // a guest: how many of its tasks its owner has no room for
-	OwnerAskedAt  time.Time // and when it last said so
-}
-
 // resolveLocked looks up a job that is not among the active ones, since tasks
 // of it may be on machines: it is over, or only not heard of yet.
 func (s *Scheduler) resolveLocked(id string) {
@@ -81,7 +39,7 @@
 }
 
 // jobOf returns an own job or a guest.
-func (s *Scheduler) jobOf(id string) *jobState {
+func (s *Scheduler) jobOf(id string) *queue.Job {
 	if js := s.jobs[id]; js != nil {
 		return js
 	}
@@ -113,7 +71,7 @@
 	}
 }
 
-func (s *Scheduler) addJobLocked(r *job.Record) *jobState {
+func (s *Scheduler) addJobLocked(r *job.Record) *queue.Job {
 	j := &r.Job
 	js := s.newJob(r)
 	s.jobs[j.ID] = js
@@ -122,50 +80,13 @@
 	return js
 }
 
-func (s *Scheduler) newJob(r *job.Record) *jobState {
-	j := &r.Job
-	js := &jobState{
-		Record: r, Size: placement.Of(j), live: map[int]int{}, Zones: map[string]int{},
-		Done: completion.NewJob(r), FailedOn: map[string]bool{}, AcceptedAt: time.UnixMilli(r.AcceptedMs), Objectives: s.objectives(j),
-	}
-	js.DominantShare, js.ImageFetchTime = s.dominantShare(js.Size), s.fetchTime(j)
-	s.takeReadinessLocked(js)
+// newJob returns the state of a job, its own or a hosted one.
+func (s *Scheduler) newJob(r *job.Record) *queue.Job {
+	js := queue.NewJob(r, s.opts.Settings.Objectives, s.types)
+	js.SetReadiness(s.opts.Jobs.Readiness(r))
 	return js
 }
 
-// objectives is within what time the job's users want it, as far as its class
-// says; a deadline of its own stands for those.
-func (s *Scheduler) objectives(j *wire.Job) []time.Duration {
-	if j.DeadlineS != nil {
-		return nil
-	}
-	var all []time.Duration
-	for _, o := range s.opts.Settings.Objectives {
-		if o.Class == j.Class && o.Within > 0 {
-			all = append(all, o.Within)
-		}
-	}
-	if len(all) == 0 {
-		all = append(all, time.Minute)
-	}
-	return all
-}
-
-// dominantShare is the largest part of a machine's resources that a task of
-// the size takes.
-func (s *Scheduler) dominantShare(size placement.Resources) float64 {
-	share := 1.0
-	for _, t := range s.types {
-		c := placement.Capacity(t)
-		of := max(size.CPUs/max(c.CPUs, 1e-9), size.MemoryGB/max(c.MemoryGB, 1e-9))
-		if c.GPUs > 0 {
-			of = max(of, size.GPUs/c.GPUs)
-		}
-		share = min(share, of)
-	}
-	return share
-}
-
 // JobEnded implements job.Listener.
 func (s *Scheduler) JobEnded(id string, f job.Outcome) {
 	s.mu.Lock()
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -6,14 +6,15 @@
 
 	"heronwick/internal/fleet"
 	"heronwick/internal/placement"
+	"heronwick/internal/queue"
 	"heronwick/wire"
 )
 
 // placeGangLocked places all tasks of a gang in one walk, opening machines as
 // needed, or none: then its bookings are freed. While some tasks of an earlier
 // try may still run, the others wait: without peers they end by themselves.
-func (s *Scheduler) placeGangLocked(js *jobState, now time.Time) {
-	if len(js.live) > 0 || !s.withinLimitBy(js, js.Pending()) {
+func (s *Scheduler) placeGangLocked(js *queue.Job, now time.Time) {
+	if js.LiveTasks() > 0 || !s.teams.WithinLimit(js, js.Pending()) {
 		return
 	}
 	type booking struct {
@@ -67,7 +68,7 @@
 // placeJobLocked places a job's tasks as far as there is room. With held, they
 // go where the job's image is, and elsewhere only once the job has passed up
 // enough.
-func (s *Scheduler) placeJobLocked(js *jobState, now time.Time, held bool) {
+func (s *Scheduler) placeJobLocked(js *queue.Job, now time.Time, held bool) {
 	for {
 		index, ok := js.NextTask()
 		if !ok {
@@ -76,15 +77,15 @@
 			}
 			return
 		}
-		if !s.withinLimit(js) {
+		if !s.teams.WithinLimit(js, 1) {
 			js.UnplacedSince = time.Time{} // more machines would not help
 			return
 		}
 		var m *machine
-		sh, plain := js.placementClass()
-		if full := plain && s.cycle.full[sh] || s.lacksRoomLocked(js.Size, now); !full || js.IsService() {
+		class, plain := placementClassOf(js)
+		if full := plain && s.cycle.full[class] || s.lacksRoomLocked(js.Size, now); !full || js.IsService() {
 			var wait bool
-			m, wait = s.findHeldLocked(js, now, s.guaranteed(js))
+			m, wait = s.findHeldLocked(js, now, s.teams.Guaranteed(js))
 			if wait || m == nil && s.awaitHeldLocked(js, now) {
 				return
 			}
@@ -100,12 +101,12 @@
 		}
 		if m == nil {
 			if plain {
-				s.cycle.full[sh] = true
+				s.cycle.full[class] = true
 			}
 			if js.UnplacedSince.IsZero() {
 				js.UnplacedSince = now
 			}
-			s.preemptLocked(js, now, false, s.guaranteed(js))
+			s.preemptLocked(js, now, false, s.teams.Guaranteed(js))
 			return
 		}
 		js.Dequeue()
@@ -113,7 +114,7 @@
 	}
 }
 
-func (s *Scheduler) fits(js *jobState, now time.Time) func(*machine) bool {
+func (s *Scheduler) fits(js *queue.Job, now time.Time) func(*machine) bool {
 	return func(m *machine) bool { return s.fitsLocked(js, m, now) }
 }
 
@@ -122,7 +123,7 @@
 // used one that fits, else an idle one, which it opens. For a service, room is
 // made on one of those before another machine fetches the image; wait tells
 // that this is under way.
-func (s *Scheduler) findHeldLocked(js *jobState, now time.Time, guaranteed bool) (m *machine, wait bool) {
+func (s *Scheduler) findHeldLocked(js *queue.Job, now time.Time, guaranteed bool) (m *machine, wait bool) {
 	if s.lacksRoomLocked(js.Size, now) {
 		return nil, js.IsService() && s.preemptLocked(js, now, true, guaranteed)
 	}
@@ -152,7 +153,7 @@
 // findAnyLocked chooses among all machines in the same way. Replicas stacked on one machine
 // are all lost with it, and their images are then nowhere else: as long as
 // another machine can take a replica, they fill half of one at most.
-func (s *Scheduler) findAnyLocked(js *jobState, now time.Time) *machine {
+func (s *Scheduler) findAnyLocked(js *queue.Job, now time.Time) *machine {
 	if s.lacksRoomLocked(js.Size, now) {
 		return nil
 	}
@@ -178,7 +179,7 @@
 }
 
 // hasRoomLocked tells whether any machine takes a task of the job.
-func (s *Scheduler) hasRoomLocked(js *jobState, now time.Time) bool {
+func (s *Scheduler) hasRoomLocked(js *queue.Job, now time.Time) bool {
 	if s.lacksRoomLocked(js.Size, now) {
 		return false
 	}
@@ -195,7 +196,7 @@
 const heldPatience = 300 * time.Millisecond
 
 // awaitHeldLocked tells whether the other shares are still to be asked.
-func (s *Scheduler) awaitHeldLocked(js *jobState, now time.Time) bool {
+func (s *Scheduler) awaitHeldLocked(js *queue.Job, now time.Time) bool {
 	if js.Record.Job.Kind != wire.KindService || len(s.epoch.Members) < 2 {
 		return false
 	}
@@ -208,7 +209,7 @@
 
 // belowHalfLocked tells whether one more replica leaves services on at most
 // half of the machine.
-func (s *Scheduler) belowHalfLocked(js *jobState, m *machine) bool {
+func (s *Scheduler) belowHalfLocked(js *queue.Job, m *machine) bool {
 	if m == nil || m.Type == nil {
 		return false
 	}
@@ -236,18 +237,18 @@
 	return sized
 }
 
-func (s *Scheduler) fitsLocked(js *jobState, m *machine, now time.Time) bool {
+func (s *Scheduler) fitsLocked(js *queue.Job, m *machine, now time.Time) bool {
 	if s.lookLocked(m, now); !m.usable || !js.Size.Within(m.free) {
 		return false
 	}
 	return (len(m.reservations) == 0 || js.Size.Within(s.roomLocked(m, js.Record.Job.ID, now))) && s.allowedLocked(js, m)
 }
 
-func (s *Scheduler) allowedLocked(js *jobState, m *machine) bool {
+func (s *Scheduler) allowedLocked(js *queue.Job, m *machine) bool {
 	if !placement.Allows(&js.Record.Job, m.Place(), placement.Spread{ByZone: js.Zones}) {
 		return false
 	}
-	if js.FailedOn[m.Name] && !js.FailsEverywhere() {
+	if js.Avoids(m.Name) {
 		return false
 	}
 	return m.Attempts.Len() < s.valueLimit.MaxAttempts()
@@ -255,7 +256,7 @@
 
 // placeLocked books a task on a machine. The attempt's number rises with each
 // placement, across controllers and restarts, since tokens do.
-func (s *Scheduler) placeLocked(js *jobState, index int, m *machine, now time.Time) *fleet.Attempt {
+func (s *Scheduler) placeLocked(js *queue.Job, index int, m *machine, now time.Time) *fleet.Attempt {
 	a := s.newAttempt(js, index)
 	m.Add(a, now)
 	m.looked = 0
@@ -275,7 +276,7 @@
 	return left >= noNumbersLeft
 }
 
-func (s *Scheduler) newAttempt(js *jobState, index int) *fleet.Attempt {
+func (s *Scheduler) newAttempt(js *queue.Job, index int) *fleet.Attempt {
 	j := &js.Record.Job
 	a := &fleet.Attempt{Key: fleet.Key{Task: wire.TaskID(j.ID, index), Attempt: s.numbers.next(s.epoch.Token)}, Job: j.ID, Index: index}
 	s.describe(a, j, js.EffectivePriority)
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -6,6 +6,7 @@
 
 	"heronwick/internal/fleet"
 	"heronwick/internal/preemption"
+	"heronwick/internal/queue"
 )
 
 const (
@@ -21,7 +22,7 @@
 // the rules of preemption permit, on the machine where that loses least; if
 // so asked, only on machines that hold the job's image. It tells whether room
 // is being made.
-func (s *Scheduler) preemptLocked(js *jobState, now time.Time, held, guaranteed bool) bool {
+func (s *Scheduler) preemptLocked(js *queue.Job, now time.Time, held, guaranteed bool) bool {
 	if !s.mayPreemptAnyLocked(js, guaranteed) {
 		return false
 	}
@@ -35,7 +36,7 @@
 	}
 	req := &preemption.Request{
 		Size: js.Size, Image: js.Record.Job.Image, Team: js.Record.Job.Team, Rank: js.EffectivePriority,
-		Guaranteed: guaranteed, AboveGuarantee: s.aboveGuaranteeLocked,
+		Guaranteed: guaranteed, AboveGuarantee: s.teams.AboveGuarantee,
 	}
 	plan := preemption.Choose(req, s.preemptionMachinesLocked(js, held, now), now)
 	if plan == nil {
@@ -49,7 +50,7 @@
 
 // preemptionMachinesLocked yields the machines on which room may be made for
 // the job; with held, those that hold its image.
-func (s *Scheduler) preemptionMachinesLocked(js *jobState, held bool, now time.Time) iter.Seq[*fleet.Machine] {
+func (s *Scheduler) preemptionMachinesLocked(js *queue.Job, held bool, now time.Time) iter.Seq[*fleet.Machine] {
 	return func(yield func(*fleet.Machine) bool) {
 		for _, m := range s.machines {
 			if held && !m.HasImage(js.Record.Job.Image) || !s.usableLocked(m, now) || !s.allowedLocked(js, m) {
@@ -64,7 +65,7 @@
 
 // carryOutPreemptionLocked stops the victims. Room that they leave to a hosted
 // job is kept for it: it is not in this scheduler's queue.
-func (s *Scheduler) carryOutPreemptionLocked(js *jobState, plan *preemption.Plan, now time.Time) {
+func (s *Scheduler) carryOutPreemptionLocked(js *queue.Job, plan *preemption.Plan, now time.Time) {
 	m := s.machines[plan.Machine.Name]
 	if js.Hosted {
 		m.reservations = append(m.reservations, reservation{job: js.Record.Job.ID, size: js.Size, until: now.Add(reservedFor)})
@@ -87,10 +88,3 @@
 	}
 	return false
 }
-
-// aboveGuaranteeLocked tells whether a team uses more CPUs than it is
-// guaranteed. Teams without a guarantee or limit are never above.
-func (s *Scheduler) aboveGuaranteeLocked(team string) bool {
-	t, used := s.teams[team], s.used[team]
-	return used.CPUs > t.CPUs && (t.CPUs > 0 || t.CPUsMax > 0)
-}
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -106,8 +106,8 @@
 // gainsLimitLocked tells whether a team whose limit this scheduler keeps under an
 // epoch was another's: what may still run of it, also of jobs that are over, counts.
 func (s *Scheduler) gainsLimitLocked(epoch *cluster.Epoch) bool {
-	for name, t := range s.teams {
-		if (t.CPUsMax > 0 || t.GPUsMax > 0) && epoch.Teams[name] == s.opts.Node && s.epoch.Teams[name] != s.opts.Node {
+	for name := range s.teams.Limited() {
+		if epoch.Teams[name] == s.opts.Node && s.epoch.Teams[name] != s.opts.Node {
 			return true
 		}
 	}
--- a/internal/scheduler/remote.go
+++ b/internal/scheduler/remote.go
@@ -10,6 +10,7 @@
 
 	"heronwick/internal/cluster/peerpb"
 	"heronwick/internal/fleet"
+	"heronwick/internal/queue"
 	"heronwick/internal/remote"
 )
 
@@ -59,7 +60,7 @@
 	if len(waiting) == 0 {
 		return
 	}
-	s.sortQueueLocked(waiting, now)
+	queue.Sort(waiting, s.teams, now)
 	for _, node := range s.placementPeersLocked() {
 		if s.placeThrottle.Allows(node, urgent, now) {
 			s.requestPlacementLocked(node, waiting)
@@ -69,10 +70,10 @@
 
 // remoteCandidatesLocked returns the jobs that wait for room. It is urgent
 // where one of them waits only to hear of room beside its image.
-func (s *Scheduler) remoteCandidatesLocked(now time.Time) (waiting []*jobState, urgent bool) {
+func (s *Scheduler) remoteCandidatesLocked(now time.Time) (waiting []*queue.Job, urgent bool) {
 	for _, js := range s.jobs {
 		awaitsHeld := now.Sub(js.ImageWaitSince) < heldPatience
-		if (awaitsHeld || !js.UnplacedSince.IsZero()) && js.Pending() > 0 && s.withinLimit(js) && !now.Before(js.NotBefore) && !js.FailsEverywhere() {
+		if (awaitsHeld || !js.UnplacedSince.IsZero()) && js.Pending() > 0 && s.teams.WithinLimit(js, 1) && !now.Before(js.NotBefore) && !js.FailsEverywhere() {
 			waiting = append(waiting, js)
 			urgent = urgent || awaitsHeld
 		}
@@ -96,7 +97,7 @@
 // requestPlacementLocked asks one peer for room. The tasks count as placed
 // remotely before the request goes out: without an answer the peer may have
 // taken them.
-func (s *Scheduler) requestPlacementLocked(node string, waiting []*jobState) {
+func (s *Scheduler) requestPlacementLocked(node string, waiting []*queue.Job) {
 	req := s.placeRequestLocked(node, waiting)
 	if len(req.Wanted) == 0 {
 		return
@@ -119,7 +120,7 @@
 // placeRequestLocked builds a request for room for at most maxRequestTasks
 // tasks of the waiting jobs, maxRequestTasksPerJob of each, and tracks each as
 // a remote attempt on node.
-func (s *Scheduler) placeRequestLocked(node string, waiting []*jobState) *peerpb.PlaceRequest {
+func (s *Scheduler) placeRequestLocked(node string, waiting []*queue.Job) *peerpb.PlaceRequest {
 	req := &peerpb.PlaceRequest{Node: s.opts.Node, Token: s.epoch.Token}
 	requested := 0
 	for _, js := range waiting {
@@ -137,15 +138,15 @@
 
 // wantedLocked takes up to budget next tasks of js, maxRequestTasksPerJob at
 // most, as new attempts that are requested of node.
-func (s *Scheduler) wantedLocked(js *jobState, node string, budget int) *peerpb.Wanted {
-	wanted := &peerpb.Wanted{Job: js.Record.Job.ID, Guaranteed: s.guaranteed(js), Pending: uint32(js.Unplaced()), Zones: map[string]uint32{},
+func (s *Scheduler) wantedLocked(js *queue.Job, node string, budget int) *peerpb.Wanted {
+	wanted := &peerpb.Wanted{Job: js.Record.Job.ID, Guaranteed: s.teams.Guaranteed(js), Pending: uint32(js.Unplaced()), Zones: map[string]uint32{},
 		Held: js.UnplacedSince.IsZero()}
 	for zone, n := range js.Zones {
 		if n > 0 {
 			wanted.Zones[zone] = uint32(n)
 		}
 	}
-	for len(wanted.Attempts) < min(budget, maxRequestTasksPerJob) && s.withinLimit(js) {
+	for len(wanted.Attempts) < min(budget, maxRequestTasksPerJob) && s.teams.WithinLimit(js, 1) {
 		index, ok := js.NextTask()
 		if !ok {
 			break
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -22,6 +22,7 @@
 	"heronwick/internal/fleet"
 	"heronwick/internal/job"
 	"heronwick/internal/placement"
+	"heronwick/internal/queue"
 	"heronwick/internal/remote"
 	"heronwick/internal/state"
 	"heronwick/internal/wait"
@@ -154,7 +155,7 @@
 	opts  Options
 	log   *slog.Logger
 	types map[string]*wire.MachineType
-	teams map[string]config.Team
+	teams *queue.Teams
 	wake  chan struct{}
 	// epochChecked is cleared when the epoch, an owner or a job may ask for another
 	// division: looking for that takes as long as the fleet is large.
@@ -168,12 +169,12 @@
 	loaded            bool
 	adopted           uint64 // under this epoch, machines without an owner have been taken
 	building          bool
-	begun             uint64               // version of the epoch when the scheduler began
-	answeredEarly     map[string]time.Time // reports answered before the records were read
-	unknownTasksSince map[string]time.Time // since when machines have had tasks of unknown jobs
-	jobs              map[string]*jobState // the scheduler's own
-	hostedJobs        map[string]*jobState // jobs of other controllers that have, or want, tasks here
-	remoteAttempts    *remote.Attempts     // tasks of own jobs that may be on others' machines
+	begun             uint64                // version of the epoch when the scheduler began
+	answeredEarly     map[string]time.Time  // reports answered before the records were read
+	unknownTasksSince map[string]time.Time  // since when machines have had tasks of unknown jobs
+	jobs              map[string]*queue.Job // the scheduler's own
+	hostedJobs        map[string]*queue.Job // jobs of other controllers that have, or want, tasks here
+	remoteAttempts    *remote.Attempts      // tasks of own jobs that may be on others' machines
 	placeThrottle     remote.Throttle
 	denied            remote.DeniedAttempts // hosted here never more
 	machines          map[string]*machine
@@ -191,7 +192,6 @@
 	syncWaits         bool // for that
 	list              placement.List[*machine]
 	cycle             schedulingPass
-	used              map[string]placement.Resources // by team, all that may be on machines
 	numbers           attemptNumbers
 	inventory         *autoscale.Inventory
 	planner           *autoscale.Planner // shares types and inventory
@@ -218,12 +218,11 @@
 func New(opts Options) *Scheduler {
 	s := &Scheduler{
 		opts: opts, log: opts.Log,
-		types: map[string]*wire.MachineType{}, teams: map[string]config.Team{},
+		types: map[string]*wire.MachineType{}, teams: queue.NewTeams(opts.Settings.Teams),
 		wake:          make(chan struct{}, 1),
-		answeredEarly: map[string]time.Time{}, unknownTasksSince: map[string]time.Time{}, jobs: map[string]*jobState{}, machines: map[string]*machine{},
-		used:      map[string]placement.Resources{},
+		answeredEarly: map[string]time.Time{}, unknownTasksSince: map[string]time.Time{}, jobs: map[string]*queue.Job{}, machines: map[string]*machine{},
 		inventory: autoscale.NewInventory(), resolve: map[string]bool{},
-		hostedJobs: map[string]*jobState{}, remoteAttempts: remote.NewAttempts(),
+		hostedJobs: map[string]*queue.Job{}, remoteAttempts: remote.NewAttempts(),
 		moving: map[string]bool{},
 	}
 	s.valueLimit = checkpoint.NewValueLimit(opts.Settings, opts.Log)
@@ -240,9 +239,6 @@
 	for i := range opts.Types {
 		s.types[opts.Types[i].Name] = &opts.Types[i]
 	}
-	for _, t := range opts.Settings.Teams {
-		s.teams[t.Name] = t
-	}
 	return s
 }
 
--- a/internal/scheduler/schedulingpass.go
+++ b/internal/scheduler/schedulingpass.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"heronwick/internal/placement"
-	"heronwick/wire"
+	"heronwick/internal/queue"
 )
 
 // schedulingPass is what one schedulingPass of placing has found out and need not find out again
@@ -37,21 +37,21 @@
 	types string
 }
 
-// placementClass returns a job's shape; ok is false for one whose tasks are bound to
+// placementClassOf returns the class of a job's tasks; ok is false for one whose tasks are bound to
 // more than that.
-func (js *jobState) placementClass() (sh placementClass, ok bool) {
+func placementClassOf(js *queue.Job) (class placementClass, ok bool) {
 	j := &js.Record.Job
-	if j.Spread || j.OneZone || len(js.FailedOn) > 0 {
+	if j.Spread || j.OneZone || js.HasFailed() {
 		return placementClass{}, false
 	}
-	sh = placementClass{size: js.Size, spot: j.Spot}
+	class = placementClass{size: js.Size, spot: j.Spot}
 	if j.Zone != nil {
-		sh.zone = *j.Zone
+		class.zone = *j.Zone
 	}
 	for _, t := range j.Types {
-		sh.types += t + " "
+		class.types += t + " "
 	}
-	return sh, true
+	return class, true
 }
 
 // beginPassLocked forgets what the last pass has found.
@@ -123,7 +123,7 @@
 
 // idleLocked returns the idle machine to open for the job: one that holds its
 // image before others.
-func (s *Scheduler) idleLocked(js *jobState, now time.Time) *machine {
+func (s *Scheduler) idleLocked(js *queue.Job, now time.Time) *machine {
 	var first *machine
 	for _, m := range s.idleMachinesLocked(now) {
 		if s.list.Has(m) || s.machines[m.Name] != m || !s.fitsLocked(js, m, now) {
@@ -141,7 +141,7 @@
 
 // mayPreemptAnyLocked tells whether there can be any task that the job may
 // have stopped: looking for the best on every machine takes long.
-func (s *Scheduler) mayPreemptAnyLocked(js *jobState, guaranteed bool) bool {
+func (s *Scheduler) mayPreemptAnyLocked(js *queue.Job, guaranteed bool) bool {
 	if p := &s.cycle; !p.victims {
 		p.victims = true
 		for _, m := range s.machines {
@@ -151,12 +151,14 @@
 				}
 			}
 		}
-		for name := range s.teams {
-			p.above = p.above || s.aboveGuaranteeLocked(name)
-		}
+		p.above = s.teams.AnyAboveGuarantee()
 	}
 	return js.EffectivePriority < s.cycle.lowest || guaranteed && s.cycle.above
 }
 
-// IsService tells whether the job's tasks run until it is cancelled.
-func (js *jobState) IsService() bool { return js.Record.Job.Kind == wire.KindService }
+func boolInt(b bool) int {
+	if b {
+		return 1
+	}
+	return 0
+}
