--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -10,14 +10,14 @@
 	"heronwick/wire"
 )
 
-// adoptLocked takes in an attempt that was recorded before or that a report
+// adoptAttemptLocked takes in an attempt that was recorded before or that a report
 // shows unexpectedly.
-func (s *Scheduler) adoptLocked(m *machine, a *fleet.Attempt) {
-	js := s.jobs[a.Job]
-	if js == nil {
+func (s *Scheduler) adoptAttemptLocked(m *machine, a *fleet.Attempt) {
+	queued := s.jobs[a.Job]
+	if queued == nil {
 		r := s.opts.Jobs.Active(a.Job)
-		if r == nil || s.mineLocked(&r.Job) {
-			s.resolveLocked(a.Job)
+		if r == nil || s.ownsJobLocked(&r.Job) {
+			s.resolveJobLocked(a.Job)
 			return
 		}
 		s.describe(a, &r.Job, s.effectivePriorityOf(r))
@@ -29,15 +29,15 @@
 	if remote := s.remoteAttempts.Get(a.Key); remote != nil {
 		s.forgetRemoteLocked(remote) // it was another's, and its machine is now ours
 	}
-	s.describe(a, &js.Record.Job, js.EffectivePriority)
+	s.describe(a, &queued.Record.Job, queued.EffectivePriority)
 	if a.Exited() {
 		return
 	}
-	if a.Index >= js.Record.Job.Tasks || js.Done.Has(a.Index) || js.HasAttempt(a.Index) {
+	if a.Index >= queued.Record.Job.Tasks || queued.Done.Has(a.Index) || queued.HasAttempt(a.Index) {
 		// Its result is known, or another attempt may be elsewhere: never two.
 		a.Stop = true
 	}
-	s.countLocked(m.Zone, a)
+	s.countAttemptLocked(m.Zone, a)
 	s.closeIfEmptyLocked(m)
 }
 
@@ -58,71 +58,71 @@
 // graceFor leaves a task a little more than its owner says it needs to save.
 func graceFor(j *wire.Job) float64 { return j.SaveS*1.25 + 0.5 }
 
-func (s *Scheduler) countLocked(zone string, a *fleet.Attempt) {
+func (s *Scheduler) countAttemptLocked(zone string, a *fleet.Attempt) {
 	if a.Counted {
 		return
 	}
 	a.Counted, a.Zone = true, zone
 	s.teams.Add(a.Team, a.Size)
-	if js := s.jobs[a.Job]; js != nil {
-		js.AttemptAdded(a.Index, a.Zone)
+	if queued := s.jobs[a.Job]; queued != nil {
+		queued.AttemptAdded(a.Index, a.Zone)
 	}
 }
 
-// uncountLocked takes an attempt out of all sums: it is surely gone. Its task
+// uncountAttemptLocked takes an attempt out of all sums: it is surely gone. Its task
 // is queued again, unless it is done or may be elsewhere.
-func (s *Scheduler) uncountLocked(a *fleet.Attempt) {
-	s.releaseLocked(a)
+func (s *Scheduler) uncountAttemptLocked(a *fleet.Attempt) {
+	s.releaseAttemptLocked(a)
 	s.poke()
 }
 
-// releaseLocked is uncountLocked without waking the scheduler.
-func (s *Scheduler) releaseLocked(a *fleet.Attempt) {
+// releaseAttemptLocked is uncountAttemptLocked without waking the scheduler.
+func (s *Scheduler) releaseAttemptLocked(a *fleet.Attempt) {
 	if !a.Counted {
 		return
 	}
 	a.Counted = false
 	s.teams.Remove(a.Team, a.Size)
-	if js := s.jobs[a.Job]; js != nil {
-		js.AttemptRemoved(a.Index, a.Zone)
+	if queued := s.jobs[a.Job]; queued != nil {
+		queued.AttemptRemoved(a.Index, a.Zone)
 	}
 }
 
-// exitedLocked takes the end of an attempt on a machine of the share.
-func (s *Scheduler) exitedLocked(m *machine, a *fleet.Attempt) {
+// attemptExitedLocked takes the end of an attempt on a machine of the share.
+func (s *Scheduler) attemptExitedLocked(m *machine, a *fleet.Attempt) {
 	now := time.Now()
 	s.log.Debug("exited", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "why", a.Why, "since_placed", now.Sub(a.Placed))
 	if a.Why == wire.ExitError {
-		s.failedLocked(m, s.jobOf(a.Job), a, now)
+		s.taskFailedLocked(m, s.jobOf(a.Job), a, now)
 	}
 	if a.Why == wire.ExitDone {
 		clear(m.failedJobs)
-		if js := s.jobOf(a.Job); js != nil {
-			js.Succeeded = true
+		if queued := s.jobOf(a.Job); queued != nil {
+			queued.Succeeded = true
 		}
 	}
 	if a.Why == wire.ExitNoCapacity || a.Why == wire.ExitBusy {
 		m.cooling = now.Add(time.Second)
 	}
-	s.endedLocked(a, now)
+	s.attemptEndedLocked(a, now)
 }
 
-// endedLocked draws the consequences of an attempt's end for its job, on
+// attemptEndedLocked draws the consequences of an attempt's end for its job, on
 // whoever's machine it was.
-func (s *Scheduler) endedLocked(a *fleet.Attempt, now time.Time) {
-	js := s.jobs[a.Job]
-	if js == nil {
+func (s *Scheduler) attemptEndedLocked(a *fleet.Attempt, now time.Time) {
+	queued := s.jobs[a.Job]
+	if queued == nil {
 		// Its owner, which asks, decides what follows; without one, nothing.
 		a.Handled = !a.Guest
-		s.uncountLocked(a)
+		s.uncountAttemptLocked(a)
 		return
 	}
 	if a.Why == wire.ExitDone && !a.Service {
-		js.Succeeded = true
-		js.Done.Complete(a)
-		s.uncountLocked(a)
+		queued.Succeeded = true
+		queued.Done.Complete(a)
+		s.uncountAttemptLocked(a)
 		s.stopOthersLocked(a)
-		s.finishLocked(js)
+		s.finishLocked(queued)
 		return
 	}
 	a.Handled = true
@@ -130,15 +130,15 @@
 	case wire.ExitStopped, wire.ExitDone, wire.ExitError, wire.ExitPeerLost, wire.ExitGangIncomplete:
 	default:
 		s.log.Info("start refused", "task", a.Task, "attempt", a.Attempt, "why", a.Why)
-		js.NotBefore = now.Add(500 * time.Millisecond)
+		queued.NotBefore = now.Add(500 * time.Millisecond)
 	}
-	s.uncountLocked(a)
+	s.uncountAttemptLocked(a)
 }
 
 // stopOthersLocked stops other attempts of a task that is done.
 func (s *Scheduler) stopOthersLocked(done *fleet.Attempt) {
-	js := s.jobs[done.Job]
-	if js == nil || !js.HasAttempt(done.Index) {
+	queued := s.jobs[done.Job]
+	if queued == nil || !queued.HasAttempt(done.Index) {
 		return
 	}
 	for _, m := range s.machines {
@@ -151,15 +151,15 @@
 	}
 }
 
-// failedLocked judges a failure: is it the machine or the job? A machine on
+// taskFailedLocked judges a failure: is it the machine or the job? A machine on
 // which several jobs fail that do not fail elsewhere is set aside; a job that
 // fails on several machines and succeeds on none is tried again ever later.
-func (s *Scheduler) failedLocked(m *machine, js *queue.Job, a *fleet.Attempt, now time.Time) {
+func (s *Scheduler) taskFailedLocked(m *machine, queued *queue.Job, a *fleet.Attempt, now time.Time) {
 	s.log.Info("task failed", "task", a.Task, "attempt", a.Attempt, "machine", m.Name)
-	if js == nil {
+	if queued == nil {
 		return
 	}
-	js.AddFailure(m.Name, now)
+	queued.AddFailure(m.Name, now)
 	m.failedJobs[a.Job] = true
 	evidence := 0
 	for id := range m.failedJobs {
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -138,8 +138,8 @@
 // and must know of all that waits, not only of what it is just asked to place.
 func (s *Scheduler) wantsLocked(now time.Time) []*peerpb.Want {
 	var wants []*peerpb.Want
-	for id, js := range s.jobs {
-		if n := js.RentalDemand(now); n > 0 && len(wants) < maxWants {
+	for id, queued := range s.jobs {
+		if n := queued.RentalDemand(now); n > 0 && len(wants) < maxWants {
 			wants = append(wants, &peerpb.Want{Job: id, Tasks: uint32(n)})
 		}
 	}
@@ -156,21 +156,21 @@
 // in which it is rented for.
 func (s *Scheduler) unmetDemandLocked(now time.Time) []unmetDemand {
 	var all []unmetDemand
-	for _, js := range s.jobs {
-		if n := js.RentalDemand(now); n > 0 {
-			all = append(all, unmetDemand{js, n})
+	for _, queued := range s.jobs {
+		if n := queued.RentalDemand(now); n > 0 {
+			all = append(all, unmetDemand{queued, n})
 		}
 	}
 	for _, w := range s.opts.Authority.UnplacedWants() {
-		js := s.hostedJobs[w.Job]
-		if js == nil {
+		queued := s.hostedJobs[w.Job]
+		if queued == nil {
 			r := s.opts.Jobs.Active(w.Job)
 			if r == nil {
 				continue
 			}
-			js = s.newJob(r)
+			queued = s.newJob(r)
 		}
-		all = append(all, unmetDemand{js, int(w.Tasks)})
+		all = append(all, unmetDemand{queued, int(w.Tasks)})
 	}
 	slices.SortFunc(all, func(a, b unmetDemand) int {
 		return cmp.Or(cmp.Compare(a.job.EffectivePriority, b.job.EffectivePriority), a.job.EligibleAt.Compare(b.job.EligibleAt))
--- a/internal/scheduler/bucketwrite.go
+++ b/internal/scheduler/bucketwrite.go
@@ -44,15 +44,15 @@
 	if a.Durable || pw.jobs[a.Job] {
 		return true
 	}
-	js := s.jobOf(a.Job)
-	if js == nil {
+	queued := s.jobOf(a.Job)
+	if queued == nil {
 		return true
 	}
 	if len(pw.jobs) >= max(1, 2*s.opts.Settings.TxnOps) {
 		return false
 	}
 	pw.jobs[a.Job] = true
-	pw.write.If = append(pw.write.If, js.Record.Condition())
+	pw.write.If = append(pw.write.If, queued.Record.Condition())
 	return true
 }
 
@@ -94,7 +94,7 @@
 // written once those hold what it held.
 func (s *Scheduler) writeBucketLocked(p *bucket, priority state.Priority) {
 	for name := range p.machines {
-		s.dropStaleGuestsLocked(s.machines[name])
+		s.dropStaleHostedLocked(s.machines[name])
 	}
 	if p.empty() {
 		s.deleteBucketLocked(p, priority)
@@ -353,13 +353,13 @@
 		for _, a := range m.Attempts.All() {
 			if a.Job == id && a.NeverSent() {
 				m.Attempts.Delete(a.Key)
-				s.uncountLocked(a)
+				s.uncountAttemptLocked(a)
 			}
 		}
 		s.closeIfEmptyLocked(m)
 	}
-	if js := s.jobOf(id); js != nil {
-		js.NotBefore = time.Now().Add(time.Second)
+	if queued := s.jobOf(id); queued != nil {
+		queued.NotBefore = time.Now().Add(time.Second)
 	}
-	s.resolveLocked(id)
+	s.resolveJobLocked(id)
 }
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -11,15 +11,15 @@
 	defer s.mu.Unlock()
 	ranks := map[string]int{}
 	for _, id := range ids {
-		js := s.jobOf(id)
-		if js == nil {
+		queued := s.jobOf(id)
+		if queued == nil {
 			continue
 		}
-		before := js.EffectivePriority
-		js.SetReadiness(s.opts.Jobs.Readiness(js.Record))
-		s.log.Debug("standing changed", "job", id, "ready", js.Ready, "rank", js.EffectivePriority, "due", js.Deadline)
-		if js.EffectivePriority != before {
-			ranks[id] = js.EffectivePriority
+		before := queued.EffectivePriority
+		queued.SetReadiness(s.opts.Jobs.Readiness(queued.Record))
+		s.log.Debug("standing changed", "job", id, "ready", queued.Ready, "rank", queued.EffectivePriority, "due", queued.Deadline)
+		if queued.EffectivePriority != before {
+			ranks[id] = queued.EffectivePriority
 		}
 	}
 	s.reprioritizeLocked(ranks)
--- a/internal/scheduler/done.go
+++ b/internal/scheduler/done.go
@@ -64,8 +64,8 @@
 // completionOf returns which tasks of one of the scheduler's own jobs are done,
 // nil if the job is none.
 func (s *Scheduler) completionOf(id string) *completion.Job {
-	if js := s.jobs[id]; js != nil {
-		return js.Done
+	if queued := s.jobs[id]; queued != nil {
+		return queued.Done
 	}
 	return nil
 }
@@ -80,8 +80,8 @@
 // unfinishedLocked returns the jobs whose end is not being written.
 func (s *Scheduler) unfinishedLocked() iter.Seq[*completion.Job] {
 	return func(yield func(*completion.Job) bool) {
-		for _, js := range s.jobs {
-			if !js.Finishing && !yield(js.Done) {
+		for _, queued := range s.jobs {
+			if !queued.Finishing && !yield(queued.Done) {
 				return
 			}
 		}
@@ -89,35 +89,35 @@
 }
 
 // finishLocked writes a job's end once all its tasks are done.
-func (s *Scheduler) finishLocked(js *queue.Job) {
-	if js.Finishing || js.IsService() || js.Done.Count < js.Record.Job.Tasks {
+func (s *Scheduler) finishLocked(queued *queue.Job) {
+	if queued.Finishing || queued.IsService() || queued.Done.Count < queued.Record.Job.Tasks {
 		return
 	}
-	js.Finishing = true
+	queued.Finishing = true
 	since := time.Now()
 	s.goDo(func(ctx context.Context) {
-		for s.finish(ctx, js, since) {
+		for s.finish(ctx, queued, since) {
 		}
 	})
 }
 
 // finish returns false when nothing is left to do. However often the epoch changes,
 // the end keeps its place among those that wait to be written.
-func (s *Scheduler) finish(ctx context.Context, js *queue.Job, since time.Time) bool {
+func (s *Scheduler) finish(ctx context.Context, queued *queue.Job, since time.Time) bool {
 	s.mu.Lock()
-	id, fence := js.Record.Job.ID, s.fenceLocked()
+	id, fence := queued.Record.Job.ID, s.fenceLocked()
 	fence.Since = since
-	mine := s.jobs[id] == js && ctx.Err() == nil
+	mine := s.jobs[id] == queued && ctx.Err() == nil
 	s.mu.Unlock()
 	if !mine {
 		return false
 	}
-	err := s.opts.Jobs.Finish(ctx, js.Record, fence)
+	err := s.opts.Jobs.Finish(ctx, queued.Record, fence)
 	var conflict *state.Conflict
-	if errors.As(err, &conflict) && conflict.Includes(js.Record.Condition().Key) {
+	if errors.As(err, &conflict) && conflict.Includes(queued.Record.Condition().Key) {
 		s.log.Debug("writing the end of a job failed", "job", id, "err", err)
 		s.mu.Lock()
-		s.resolveLocked(id)
+		s.resolveJobLocked(id)
 		s.mu.Unlock()
 	}
 	return err != nil && wait.Sleep(ctx, 300*time.Millisecond)
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -25,12 +25,12 @@
 	at    time.Time // when the token last rose
 }
 
-// same tells whether two epochs divide alike.
-func same(a, b *cluster.Epoch) bool {
+// sameAssignment tells whether two epochs divide alike.
+func sameAssignment(a, b *cluster.Epoch) bool {
 	return a.Leader == b.Leader && a.Incarnation == b.Incarnation && maps.Equal(a.Members, b.Members) && maps.Equal(a.Teams, b.Teams)
 }
 
-func (s *Scheduler) mineLocked(j *wire.Job) bool {
+func (s *Scheduler) ownsJobLocked(j *wire.Job) bool {
 	return s.epoch.OwnerOf(j.Team, j.ID) == s.opts.Node
 }
 
@@ -47,7 +47,7 @@
 	if !fresh {
 		return // an owner's write of the epoch before may be missing; the watch brings it
 	}
-	if s.loaded && epoch.Token != s.epoch.Token && same(&epoch, &s.epoch.Epoch) {
+	if s.loaded && epoch.Token != s.epoch.Token && sameAssignment(&epoch, &s.epoch.Epoch) {
 		// Only the token has risen.
 		if s.adopted == s.epoch.Token {
 			s.adopted = epoch.Token
@@ -75,7 +75,7 @@
 	for _, r := range s.opts.Jobs.AllActive() {
 		switch {
 		case epoch.OwnerOf(r.Job.Team, r.Job.ID) != s.opts.Node || s.jobs[r.Job.ID] != nil:
-		case epoch.Token == s.epoch.Token && s.acceptedHereLocked(r):
+		case epoch.Token == s.epoch.Token && s.acceptedInEpochLocked(r):
 			s.addJobLocked(r) // that it was added is about to be told
 		default:
 			gained = append(gained, r)
@@ -88,10 +88,10 @@
 	s.goDo(func(ctx context.Context) { s.rebuild(ctx, epoch, condition, gained, adopt) })
 }
 
-// acceptedHereLocked tells whether a job of the share was accepted under the
+// acceptedInEpochLocked tells whether a job of the share was accepted under the
 // division that the share goes by: nobody else can have placed tasks of it, so
 // the records need not be read for it.
-func (s *Scheduler) acceptedHereLocked(r *job.Record) bool {
+func (s *Scheduler) acceptedInEpochLocked(r *job.Record) bool {
 	return s.loaded && r.Version > s.epoch.since.Version
 }
 
@@ -105,7 +105,7 @@
 	if s.beginsToLeadLocked(&epoch) {
 		s.ledSince = time.Now()
 	}
-	if !s.loaded || !same(&epoch, &s.epoch.Epoch) {
+	if !s.loaded || !sameAssignment(&epoch, &s.epoch.Epoch) {
 		s.epoch.since, s.epoch.from = condition, epoch.Token
 	}
 	s.epoch.Epoch, s.epoch.condition, s.epoch.at = epoch, condition, time.Now()
@@ -116,13 +116,13 @@
 // starts.
 func (s *Scheduler) disownLocked(epoch *cluster.Epoch) {
 	lost := map[string]bool{}
-	for id, js := range s.jobs {
-		if epoch.OwnerOf(js.Record.Job.Team, id) == s.opts.Node {
+	for id, queued := range s.jobs {
+		if epoch.OwnerOf(queued.Record.Job.Team, id) == s.opts.Node {
 			continue
 		}
 		lost[id] = true
 		delete(s.jobs, id)
-		for a := range js.Done.Unwritten() {
+		for a := range queued.Done.Unwritten() {
 			a.Guest = true // its new owner asks for it
 		}
 	}
@@ -133,7 +133,7 @@
 		for _, a := range m.Attempts.All() {
 			if lost[a.Job] {
 				a.Guest, a.Epoch = true, 0
-				s.uncountLocked(a)
+				s.uncountAttemptLocked(a)
 			}
 		}
 	}
@@ -144,9 +144,9 @@
 	}
 }
 
-// dropStaleGuestsLocked removes guests that were not recorded under the
+// dropStaleHostedLocked removes guests that were not recorded under the
 // division in which their owner asked: it finds that they are not here.
-func (s *Scheduler) dropStaleGuestsLocked(m *machine) {
+func (s *Scheduler) dropStaleHostedLocked(m *machine) {
 	for _, a := range m.Attempts.All() {
 		if a.Guest && !a.Durable && a.Epoch < s.epoch.from {
 			m.Attempts.Delete(a.Key)
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -139,8 +139,8 @@
 			delete(s.unknownTasksSince, name) // gone, or it would have been decided
 		}
 	}
-	for _, js := range s.jobs {
-		if js.Record.Job.Kind == wire.KindGang && !js.UnplacedSince.IsZero() {
+	for _, queued := range s.jobs {
+		if queued.Record.Job.Kind == wire.KindGang && !queued.UnplacedSince.IsZero() {
 			return // it gathers machines
 		}
 	}
--- a/internal/scheduler/hosting.go
+++ b/internal/scheduler/hosting.go
@@ -87,18 +87,18 @@
 // hostedJobLocked returns the state of another controller's job, brought up to
 // date by what its owner says of it.
 func (s *Scheduler) hostedJobLocked(record *job.Record, wanted *peerpb.Wanted) *queue.Job {
-	js := s.hostedJobs[wanted.Job]
-	if js == nil {
-		js = s.newJob(record)
-		js.Hosted = true
-		s.hostedJobs[wanted.Job] = js
+	queued := s.hostedJobs[wanted.Job]
+	if queued == nil {
+		queued = s.newJob(record)
+		queued.Hosted = true
+		s.hostedJobs[wanted.Job] = queued
 	}
-	js.OwnerGuaranteed, js.OwnerUnplaced = wanted.Guaranteed, 0
-	js.Zones = map[string]int{}
+	queued.OwnerGuaranteed, queued.OwnerUnplaced = wanted.Guaranteed, 0
+	queued.Zones = map[string]int{}
 	for zone, n := range wanted.Zones {
-		js.Zones[zone] = int(n)
+		queued.Zones[zone] = int(n)
 	}
-	return js
+	return queued
 }
 
 // hostNextLocked places the next attempt that is asked for, or hands over
@@ -135,7 +135,7 @@
 // findForHostedLocked finds a machine for the next task of a request: one that
 // holds its image first. making tells that room is being made instead.
 func (s *Scheduler) findForHostedLocked(r *jobRequest, now time.Time) (m *machine, making bool) {
-	m, making = s.findHeldLocked(r.job, now, r.wanted.Guaranteed)
+	m, making = s.findWithImageLocked(r.job, now, r.wanted.Guaranteed)
 	if m != nil || making || r.wanted.Held {
 		return m, making
 	}
@@ -163,12 +163,12 @@
 // and as many more idle ones as the job's pending tasks need, but keeps as
 // many as it hands over: the next to ask may need them as much. It returns how
 // many it handed over.
-func (s *Scheduler) handOverForLocked(js *queue.Job, first *machine, node string, pending int, now time.Time) int {
-	tasksPerMachine := max(1, int(1/max(js.DominantShare, 1e-3)))
+func (s *Scheduler) handOverForLocked(queued *queue.Job, first *machine, node string, pending int, now time.Time) int {
+	tasksPerMachine := max(1, int(1/max(queued.DominantShare, 1e-3)))
 	needed := (pending + tasksPerMachine - 1) / tasksPerMachine
 	chosen := []*machine{first}
 	if needed > 1 {
-		idle := s.idleForHandoverLocked(js, first, now)
+		idle := s.idleForHandoverLocked(queued, first, now)
 		chosen = append(chosen, idle[:min(needed-1, len(idle)/2)]...)
 	}
 	s.handOverLocked(chosen, node)
@@ -177,10 +177,10 @@
 
 // idleForHandoverLocked returns the idle machines beside first that take a
 // task of the job and may be handed over, by name.
-func (s *Scheduler) idleForHandoverLocked(js *queue.Job, first *machine, now time.Time) []*machine {
+func (s *Scheduler) idleForHandoverLocked(queued *queue.Job, first *machine, now time.Time) []*machine {
 	var idle []*machine
 	for _, m := range s.machines {
-		if m != first && !s.list.Has(m) && s.canHandOverLocked(m, now) && s.fitsLocked(js, m, now) {
+		if m != first && !s.list.Has(m) && s.canHandOverLocked(m, now) && s.fitsLocked(queued, m, now) {
 			idle = append(idle, m)
 		}
 	}
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -10,13 +10,13 @@
 	"heronwick/wire"
 )
 
-// resolveLocked looks up a job that is not among the active ones, since tasks
+// resolveJobLocked looks up a job that is not among the active ones, since tasks
 // of it may be on machines: it is over, or only not heard of yet.
-func (s *Scheduler) resolveLocked(id string) {
-	if s.resolve[id] {
+func (s *Scheduler) resolveJobLocked(id string) {
+	if s.resolving[id] {
 		return
 	}
-	s.resolve[id] = true
+	s.resolving[id] = true
 	s.goDo(func(ctx context.Context) {
 		for {
 			f, over, found, err := s.opts.Jobs.Resolve(ctx, id)
@@ -27,10 +27,10 @@
 				continue
 			}
 			s.mu.Lock()
-			delete(s.resolve, id)
+			delete(s.resolving, id)
 			if over || !found {
 				// When it ended is not known: perhaps long ago.
-				s.endLocked(id, f, time.Now().Add(s.opts.Settings.ReportEvery*2))
+				s.endJobLocked(id, f, time.Now().Add(s.opts.Settings.ReportEvery*2))
 			}
 			s.mu.Unlock()
 			return
@@ -40,8 +40,8 @@
 
 // jobOf returns an own job or a guest.
 func (s *Scheduler) jobOf(id string) *queue.Job {
-	if js := s.jobs[id]; js != nil {
-		return js
+	if queued := s.jobs[id]; queued != nil {
+		return queued
 	}
 	return s.hostedJobs[id]
 }
@@ -51,8 +51,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	defer s.poke()
-	if s.mineLocked(&r.Job) && s.jobs[r.Job.ID] == nil {
-		if !s.acceptedHereLocked(r) {
+	if s.ownsJobLocked(&r.Job) && s.jobs[r.Job.ID] == nil {
+		if !s.acceptedInEpochLocked(r) {
 			// Its owner before may have placed it, which the records tell.
 			s.epochChecked.Store(false)
 			return
@@ -62,9 +62,9 @@
 	for _, m := range s.machines {
 		for _, a := range m.Attempts.All() {
 			if a.Job == r.Job.ID && !a.Sized {
-				s.adoptLocked(m, a)
+				s.adoptAttemptLocked(m, a)
 				if a.Exited() && !a.Handled {
-					s.exitedLocked(m, a)
+					s.attemptExitedLocked(m, a)
 				}
 			}
 		}
@@ -73,33 +73,33 @@
 
 func (s *Scheduler) addJobLocked(r *job.Record) *queue.Job {
 	j := &r.Job
-	js := s.newJob(r)
-	s.jobs[j.ID] = js
+	queued := s.newJob(r)
+	s.jobs[j.ID] = queued
 	s.log.Debug("job queued", "job", j.ID, "class", j.Class, "team", j.Team, "tasks", j.Tasks, "cpus", j.CPUs, "image", j.Image, "estimate_s", j.EstimateS,
-		"needs", j.Dependencies, "ready", js.Ready, "rank", js.EffectivePriority)
-	return js
+		"needs", j.Dependencies, "ready", queued.Ready, "rank", queued.EffectivePriority)
+	return queued
 }
 
 // newJob returns the state of a job, its own or a hosted one.
 func (s *Scheduler) newJob(r *job.Record) *queue.Job {
-	js := queue.NewJob(r, s.opts.Settings.Objectives, s.types)
-	js.SetReadiness(s.opts.Jobs.Readiness(r))
-	return js
+	queued := queue.NewJob(r, s.opts.Settings.Objectives, s.types)
+	queued.SetReadiness(s.opts.Jobs.Readiness(r))
+	return queued
 }
 
 // JobEnded implements job.Listener.
 func (s *Scheduler) JobEnded(id string, f job.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.endLocked(id, f, time.Now().Add(s.opts.Settings.CancelIn*3/4))
+	s.endJobLocked(id, f, time.Now().Add(s.opts.Settings.CancelIn*3/4))
 }
 
-// endLocked forgets a job that is over and stops its tasks.
-func (s *Scheduler) endLocked(id string, f job.Outcome, goneBy time.Time) {
-	js := s.jobs[id]
-	if js != nil {
-		s.log.Debug("job over", "job", id, "state", f.State, "after", time.Since(js.AcceptedAt))
-		for a := range js.Done.Unwritten() {
+// endJobLocked forgets a job that is over and stops its tasks.
+func (s *Scheduler) endJobLocked(id string, f job.Outcome, goneBy time.Time) {
+	queued := s.jobs[id]
+	if queued != nil {
+		s.log.Debug("job over", "job", id, "state", f.State, "after", time.Since(queued.AcceptedAt))
+		for a := range queued.Done.Unwritten() {
 			a.Handled = true
 		}
 	}
@@ -134,14 +134,14 @@
 		touched = true
 		if a.NeverSent() {
 			m.Attempts.Delete(a.Key)
-			s.uncountLocked(a)
+			s.uncountAttemptLocked(a)
 			continue
 		}
 		a.Stop, a.GraceS, a.MustGoBy = true, 0, goneBy
 		if !a.Sized {
 			a.Team, a.Size, a.Sized = f.Team, sizeOf(f), true
 			if s.epoch.OwnerOf(f.Team, id) == s.opts.Node {
-				s.countLocked(m.Zone, a)
+				s.countAttemptLocked(m.Zone, a)
 			}
 		}
 	}
@@ -184,12 +184,12 @@
 		s.toldAll = now
 	}
 	all := now.Sub(s.toldAll) < progressFor
-	for id, js := range s.jobs {
-		p := job.Progress{Done: js.Done.Count, Running: running[id]}
-		if p != js.ReportedProgress {
-			js.ReportedProgress, js.ProgressChangedAt = p, now
+	for id, queued := range s.jobs {
+		p := job.Progress{Done: queued.Done.Count, Running: running[id]}
+		if p != queued.ReportedProgress {
+			queued.ReportedProgress, queued.ProgressChangedAt = p, now
 		}
-		if all || now.Sub(js.ProgressChangedAt) < progressFor {
+		if all || now.Sub(queued.ProgressChangedAt) < progressFor {
 			changed[id] = p
 		}
 	}
--- a/internal/scheduler/journal.go
+++ b/internal/scheduler/journal.go
@@ -90,7 +90,7 @@
 		size += r.Size(m.Name)
 	}
 	for _, m := range dirty {
-		s.dropStaleGuestsLocked(m)
+		s.dropStaleHostedLocked(m)
 		m.dirty = false
 		for _, a := range m.Attempts.All() {
 			if a.Durable || a.Exited() {
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -13,8 +13,8 @@
 // placeGangLocked places all tasks of a gang in one walk, opening machines as
 // needed, or none: then its bookings are freed. While some tasks of an earlier
 // try may still run, the others wait: without peers they end by themselves.
-func (s *Scheduler) placeGangLocked(js *queue.Job, now time.Time) {
-	if js.LiveTasks() > 0 || !s.teams.WithinLimit(js, js.Pending()) {
+func (s *Scheduler) placeGangLocked(queued *queue.Job, now time.Time) {
+	if queued.LiveTasks() > 0 || !s.teams.WithinLimit(queued, queued.Pending()) {
 		return
 	}
 	type booking struct {
@@ -24,21 +24,21 @@
 	}
 	var booked []booking
 	for {
-		index, ok := js.NextTask()
+		index, ok := queued.NextTask()
 		if !ok {
-			js.UnplacedSince = time.Time{}
+			queued.UnplacedSince = time.Time{}
 			return
 		}
-		m, _ := s.findHeldLocked(js, now, false)
+		m, _ := s.findWithImageLocked(queued, now, false)
 		if m == nil {
-			m = s.findAnyLocked(js, now)
+			m = s.findAnyLocked(queued, now)
 		}
 		if m == nil {
 			break
 		}
-		js.Dequeue()
+		queued.Dequeue()
 		dirty := m.dirty
-		a := s.placeLocked(js, index, m, now)
+		a := s.placeLocked(queued, index, m, now)
 		if len(booked) > 0 {
 			// Peers find each other by the number of their attempt.
 			m.Attempts.Delete(a.Key)
@@ -48,8 +48,8 @@
 		booked = append(booked, booking{m, a, dirty})
 	}
 	if len(booked) > 0 { // there is more room again
-		clear(s.cycle.full)
-		clear(s.cycle.lacks)
+		clear(s.pass.full)
+		clear(s.pass.lacks)
 	}
 	// Without waking the scheduler or writing records: that would set off the
 	// next try at once, for as long as the gang waits.
@@ -57,87 +57,87 @@
 		b.m.Attempts.Delete(b.a.Key)
 		b.m.looked = 0
 		b.m.dirty = b.dirty
-		s.releaseLocked(b.a)
+		s.releaseAttemptLocked(b.a)
 		s.closeIfEmptyLocked(b.m)
 	}
-	if js.UnplacedSince.IsZero() {
-		js.UnplacedSince = now
+	if queued.UnplacedSince.IsZero() {
+		queued.UnplacedSince = now
 	}
 }
 
-// placeJobLocked places a job's tasks as far as there is room. With held, they
+// placeJobLocked places a job's tasks as far as there is room. With withImage, they
 // go where the job's image is, and elsewhere only once the job has passed up
 // enough.
-func (s *Scheduler) placeJobLocked(js *queue.Job, now time.Time, held bool) {
+func (s *Scheduler) placeJobLocked(queued *queue.Job, now time.Time, withImage bool) {
 	for {
-		index, ok := js.NextTask()
+		index, ok := queued.NextTask()
 		if !ok {
-			if js.Requested == 0 {
-				js.UnplacedSince = time.Time{}
+			if queued.Requested == 0 {
+				queued.UnplacedSince = time.Time{}
 			}
 			return
 		}
-		if !s.teams.WithinLimit(js, 1) {
-			js.UnplacedSince = time.Time{} // more machines would not help
+		if !s.teams.WithinLimit(queued, 1) {
+			queued.UnplacedSince = time.Time{} // more machines would not help
 			return
 		}
 		var m *machine
-		class, plain := placementClassOf(js)
-		if full := plain && s.cycle.full[class] || s.lacksRoomLocked(js.Size, now); !full || js.IsService() {
+		class, plain := placementClassOf(queued)
+		if full := plain && s.pass.full[class] || s.lacksRoomLocked(queued.Size, now); !full || queued.IsService() {
 			var wait bool
-			m, wait = s.findHeldLocked(js, now, s.teams.Guaranteed(js))
-			if wait || m == nil && s.awaitHeldLocked(js, now) {
+			m, wait = s.findWithImageLocked(queued, now, s.teams.Guaranteed(queued))
+			if wait || m == nil && s.awaitImageLocked(queued, now) {
 				return
 			}
 			switch {
 			case m != nil:
-				js.DeferredSince = time.Time{}
+				queued.DeferredSince = time.Time{}
 			case full:
-			case held && s.hasRoomLocked(js, now) && s.passesUpLocked(js, now):
+			case withImage && s.hasRoomLocked(queued, now) && s.defersFetchLocked(queued, now):
 				return
 			default:
-				m = s.findAnyLocked(js, now)
+				m = s.findAnyLocked(queued, now)
 			}
 		}
 		if m == nil {
 			if plain {
-				s.cycle.full[class] = true
+				s.pass.full[class] = true
 			}
-			if js.UnplacedSince.IsZero() {
-				js.UnplacedSince = now
+			if queued.UnplacedSince.IsZero() {
+				queued.UnplacedSince = now
 			}
-			s.preemptLocked(js, now, false, s.teams.Guaranteed(js))
+			s.preemptLocked(queued, now, false, s.teams.Guaranteed(queued))
 			return
 		}
-		js.Dequeue()
-		s.placeLocked(js, index, m, now)
+		queued.Dequeue()
+		s.placeLocked(queued, index, m, now)
 	}
 }
 
-func (s *Scheduler) fits(js *queue.Job, now time.Time) func(*machine) bool {
-	return func(m *machine) bool { return s.fitsLocked(js, m, now) }
+func (s *Scheduler) fits(queued *queue.Job, now time.Time) func(*machine) bool {
+	return func(m *machine) bool { return s.fitsLocked(queued, m, now) }
 }
 
-// findHeldLocked chooses among machines that hold the image, which come first
+// findWithImageLocked chooses among machines that hold the image, which come first
 // since a fetch takes longer than all the rest of a start: the most recently
 // used one that fits, else an idle one, which it opens. For a service, room is
 // made on one of those before another machine fetches the image; wait tells
 // that this is under way.
-func (s *Scheduler) findHeldLocked(js *queue.Job, now time.Time, guaranteed bool) (m *machine, wait bool) {
-	if s.lacksRoomLocked(js.Size, now) {
-		return nil, js.IsService() && s.preemptLocked(js, now, true, guaranteed)
+func (s *Scheduler) findWithImageLocked(queued *queue.Job, now time.Time, guaranteed bool) (m *machine, wait bool) {
+	if s.lacksRoomLocked(queued.Size, now) {
+		return nil, queued.IsService() && s.preemptLocked(queued, now, true, guaranteed)
 	}
-	fits := s.fits(js, now)
-	holds := func(m *machine) bool { return fits(m) && m.HasImage(js.Record.Job.Image) }
-	service := js.Record.Job.Kind == wire.KindService
+	fits := s.fits(queued, now)
+	holds := func(m *machine) bool { return fits(m) && m.HasImage(queued.Record.Job.Image) }
+	service := queued.Record.Job.Kind == wire.KindService
 	first := holds
 	if service {
-		first = func(m *machine) bool { return holds(m) && s.belowHalfLocked(js, m) }
+		first = func(m *machine) bool { return holds(m) && s.belowHalfLocked(queued, m) }
 	}
 	if m, ok := s.list.Walk(first); ok {
 		return m, false
 	}
-	if idle := s.idleLocked(js, now); idle != nil && idle.HasImage(js.Record.Job.Image) {
+	if idle := s.idleLocked(queued, now); idle != nil && idle.HasImage(queued.Record.Job.Image) {
 		s.list.MoveToFront(idle)
 		return idle, false
 	}
@@ -147,20 +147,20 @@
 	if m, ok := s.list.Walk(holds); ok {
 		return m, false
 	}
-	return nil, s.preemptLocked(js, now, true, guaranteed)
+	return nil, s.preemptLocked(queued, now, true, guaranteed)
 }
 
 // findAnyLocked chooses among all machines in the same way. Replicas stacked on one machine
 // are all lost with it, and their images are then nowhere else: as long as
 // another machine can take a replica, they fill half of one at most.
-func (s *Scheduler) findAnyLocked(js *queue.Job, now time.Time) *machine {
-	if s.lacksRoomLocked(js.Size, now) {
+func (s *Scheduler) findAnyLocked(queued *queue.Job, now time.Time) *machine {
+	if s.lacksRoomLocked(queued.Size, now) {
 		return nil
 	}
-	fits := s.fits(js, now)
-	idle := s.idleLocked(js, now)
-	if js.Record.Job.Kind == wire.KindService {
-		roomy := func(m *machine) bool { return fits(m) && s.belowHalfLocked(js, m) }
+	fits := s.fits(queued, now)
+	idle := s.idleLocked(queued, now)
+	if queued.Record.Job.Kind == wire.KindService {
+		roomy := func(m *machine) bool { return fits(m) && s.belowHalfLocked(queued, m) }
 		if m, ok := s.list.Walk(roomy); ok {
 			return m
 		}
@@ -179,41 +179,41 @@
 }
 
 // hasRoomLocked tells whether any machine takes a task of the job.
-func (s *Scheduler) hasRoomLocked(js *queue.Job, now time.Time) bool {
-	if s.lacksRoomLocked(js.Size, now) {
+func (s *Scheduler) hasRoomLocked(queued *queue.Job, now time.Time) bool {
+	if s.lacksRoomLocked(queued.Size, now) {
 		return false
 	}
-	if s.idleLocked(js, now) != nil {
+	if s.idleLocked(queued, now) != nil {
 		return true
 	}
-	_, ok := s.list.Find(s.fits(js, now))
+	_, ok := s.list.Find(s.fits(queued, now))
 	return ok
 }
 
-// heldPatience is how long a service's task waits for the other shares to say
+// imageWaitTimeout is how long a service's task waits for the other shares to say
 // whether they have room beside its image, before it goes where that must be
 // fetched.
-const heldPatience = 300 * time.Millisecond
+const imageWaitTimeout = 300 * time.Millisecond
 
-// awaitHeldLocked tells whether the other shares are still to be asked.
-func (s *Scheduler) awaitHeldLocked(js *queue.Job, now time.Time) bool {
-	if js.Record.Job.Kind != wire.KindService || len(s.epoch.Members) < 2 {
+// awaitImageLocked tells whether the other shares are still to be asked.
+func (s *Scheduler) awaitImageLocked(queued *queue.Job, now time.Time) bool {
+	if queued.Record.Job.Kind != wire.KindService || len(s.epoch.Members) < 2 {
 		return false
 	}
-	if js.ImageWaitSince.IsZero() {
-		js.ImageWaitSince = now
-		time.AfterFunc(heldPatience, s.poke)
+	if queued.ImageWaitSince.IsZero() {
+		queued.ImageWaitSince = now
+		time.AfterFunc(imageWaitTimeout, s.poke)
 	}
-	return now.Sub(js.ImageWaitSince) < heldPatience
+	return now.Sub(queued.ImageWaitSince) < imageWaitTimeout
 }
 
 // belowHalfLocked tells whether one more replica leaves services on at most
 // half of the machine.
-func (s *Scheduler) belowHalfLocked(js *queue.Job, m *machine) bool {
+func (s *Scheduler) belowHalfLocked(queued *queue.Job, m *machine) bool {
 	if m == nil || m.Type == nil {
 		return false
 	}
-	sum := js.Size
+	sum := queued.Size
 	for _, a := range m.Attempts.All() {
 		if a.Service && !a.Exited() {
 			sum = sum.Plus(a.Size)
@@ -237,18 +237,18 @@
 	return sized
 }
 
-func (s *Scheduler) fitsLocked(js *queue.Job, m *machine, now time.Time) bool {
-	if s.lookLocked(m, now); !m.usable || !js.Size.Within(m.free) {
+func (s *Scheduler) fitsLocked(queued *queue.Job, m *machine, now time.Time) bool {
+	if s.lookLocked(m, now); !m.usable || !queued.Size.Within(m.free) {
 		return false
 	}
-	return (len(m.reservations) == 0 || js.Size.Within(s.roomLocked(m, js.Record.Job.ID, now))) && s.allowedLocked(js, m)
+	return (len(m.reservations) == 0 || queued.Size.Within(s.roomLocked(m, queued.Record.Job.ID, now))) && s.allowedLocked(queued, m)
 }
 
-func (s *Scheduler) allowedLocked(js *queue.Job, m *machine) bool {
-	if !placement.Allows(&js.Record.Job, m.Place(), placement.Spread{ByZone: js.Zones}) {
+func (s *Scheduler) allowedLocked(queued *queue.Job, m *machine) bool {
+	if !placement.Allows(&queued.Record.Job, m.Place(), placement.Spread{ByZone: queued.Zones}) {
 		return false
 	}
-	if js.Avoids(m.Name) {
+	if queued.Avoids(m.Name) {
 		return false
 	}
 	return m.Attempts.Len() < s.valueLimit.MaxAttempts()
@@ -256,11 +256,11 @@
 
 // placeLocked books a task on a machine. The attempt's number rises with each
 // placement, across controllers and restarts, since tokens do.
-func (s *Scheduler) placeLocked(js *queue.Job, index int, m *machine, now time.Time) *fleet.Attempt {
-	a := s.newAttempt(js, index)
+func (s *Scheduler) placeLocked(queued *queue.Job, index int, m *machine, now time.Time) *fleet.Attempt {
+	a := s.newAttempt(queued, index)
 	m.Add(a, now)
 	m.looked = 0
-	s.countLocked(m.Zone, a)
+	s.countAttemptLocked(m.Zone, a)
 	m.dirty = true
 	s.log.Debug("placed", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "image_held", m.HasImage(a.Image))
 	return a
@@ -276,9 +276,9 @@
 	return left >= noNumbersLeft
 }
 
-func (s *Scheduler) newAttempt(js *queue.Job, index int) *fleet.Attempt {
-	j := &js.Record.Job
+func (s *Scheduler) newAttempt(queued *queue.Job, index int) *fleet.Attempt {
+	j := &queued.Record.Job
 	a := &fleet.Attempt{Key: fleet.Key{Task: wire.TaskID(j.ID, index), Attempt: s.numbers.next(s.epoch.Token)}, Job: j.ID, Index: index}
-	s.describe(a, j, js.EffectivePriority)
+	s.describe(a, j, queued.EffectivePriority)
 	return a
 }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -22,38 +22,38 @@
 // the rules of preemption permit, on the machine where that loses least; if
 // so asked, only on machines that hold the job's image. It tells whether room
 // is being made.
-func (s *Scheduler) preemptLocked(js *queue.Job, now time.Time, held, guaranteed bool) bool {
-	if !s.mayPreemptAnyLocked(js, guaranteed) {
+func (s *Scheduler) preemptLocked(queued *queue.Job, now time.Time, held, guaranteed bool) bool {
+	if !s.mayPreemptAnyLocked(queued, guaranteed) {
 		return false
 	}
-	tried := &js.NoVictimAt[boolInt(held)]
+	tried := &queued.NoVictimAt[boolInt(held)]
 	if now.Sub(*tried) < victimsAfter {
 		return false
 	}
 	// What was stopped a moment ago has not made its room yet.
-	if now.Sub(js.PreemptedAt) < preemptAgainAfter && s.stoppingLocked() {
+	if now.Sub(queued.PreemptedAt) < preemptAgainAfter && s.stoppingLocked() {
 		return true
 	}
 	req := &preemption.Request{
-		Size: js.Size, Image: js.Record.Job.Image, Team: js.Record.Job.Team, Rank: js.EffectivePriority,
+		Size: queued.Size, Image: queued.Record.Job.Image, Team: queued.Record.Job.Team, Rank: queued.EffectivePriority,
 		Guaranteed: guaranteed, AboveGuarantee: s.teams.AboveGuarantee,
 	}
-	plan := preemption.Choose(req, s.preemptionMachinesLocked(js, held, now), now)
+	plan := preemption.Choose(req, s.preemptionMachinesLocked(queued, held, now), now)
 	if plan == nil {
 		*tried = now
 		return false
 	}
-	js.PreemptedAt = now
-	s.carryOutPreemptionLocked(js, plan, now)
+	queued.PreemptedAt = now
+	s.carryOutPreemptionLocked(queued, plan, now)
 	return true
 }
 
 // preemptionMachinesLocked yields the machines on which room may be made for
 // the job; with held, those that hold its image.
-func (s *Scheduler) preemptionMachinesLocked(js *queue.Job, held bool, now time.Time) iter.Seq[*fleet.Machine] {
+func (s *Scheduler) preemptionMachinesLocked(queued *queue.Job, held bool, now time.Time) iter.Seq[*fleet.Machine] {
 	return func(yield func(*fleet.Machine) bool) {
 		for _, m := range s.machines {
-			if held && !m.HasImage(js.Record.Job.Image) || !s.usableLocked(m, now) || !s.allowedLocked(js, m) {
+			if held && !m.HasImage(queued.Record.Job.Image) || !s.usableLocked(m, now) || !s.allowedLocked(queued, m) {
 				continue
 			}
 			if !yield(m.Machine) {
@@ -65,13 +65,13 @@
 
 // carryOutPreemptionLocked stops the victims. Room that they leave to a hosted
 // job is kept for it: it is not in this scheduler's queue.
-func (s *Scheduler) carryOutPreemptionLocked(js *queue.Job, plan *preemption.Plan, now time.Time) {
+func (s *Scheduler) carryOutPreemptionLocked(queued *queue.Job, plan *preemption.Plan, now time.Time) {
 	m := s.machines[plan.Machine.Name]
-	if js.Hosted {
-		m.reservations = append(m.reservations, reservation{job: js.Record.Job.ID, size: js.Size, until: now.Add(reservedFor)})
+	if queued.Hosted {
+		m.reservations = append(m.reservations, reservation{job: queued.Record.Job.ID, size: queued.Size, until: now.Add(reservedFor)})
 	}
 	for _, a := range plan.Victims {
-		s.log.Info("preempting", "task", a.Task, "machine", m.Name, "for", js.Record.Job.ID)
+		s.log.Info("preempting", "task", a.Task, "machine", m.Name, "for", queued.Record.Job.ID)
 		a.Stop = true
 	}
 	s.sendLocked(m)
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -37,8 +37,8 @@
 	s.restoreLocked(records, gained, adopt)
 	s.adopted, s.loaded = epoch.Token, true
 	s.takeDoneBucketsLocked(records.Done)
-	for _, js := range s.jobs {
-		s.finishLocked(js)
+	for _, queued := range s.jobs {
+		s.finishLocked(queued)
 	}
 }
 
@@ -80,10 +80,10 @@
 			continue
 		}
 		added[id] = true
-		js := s.addJobLocked(record)
+		queued := s.addJobLocked(record)
 		for i := range done {
 			for block, bits := range done[i].Jobs[id] {
-				js.Done.AddBlock(block, bits)
+				queued.Done.AddBlock(block, bits)
 			}
 		}
 	}
@@ -123,7 +123,7 @@
 			if !a.Counted && a.Sized && !a.Exited() && s.jobs[a.Job] == nil && s.opts.Jobs.Active(a.Job) == nil &&
 				s.epoch.OwnerOf(a.Team, a.Job) == s.opts.Node {
 				a.Guest = false
-				s.countLocked(m.Zone, a)
+				s.countAttemptLocked(m.Zone, a)
 			}
 		}
 	}
@@ -174,9 +174,9 @@
 			if !gained[a.Job] {
 				continue
 			}
-			s.adoptLocked(m, a)
+			s.adoptAttemptLocked(m, a)
 			if a.Exited() && !a.Handled {
-				s.exitedLocked(m, a)
+				s.attemptExitedLocked(m, a)
 			}
 		}
 	}
@@ -242,8 +242,8 @@
 		if outcome, over := adopting.outcomes[a.Job]; over && s.epoch.OwnerOf(outcome.Team, a.Job) == s.opts.Node {
 			a.Team, a.Size, a.Sized = outcome.Team, sizeOf(outcome), true
 			s.trackRemoteLocked(a, host, fm.Zone)
-		} else if js := s.jobs[a.Job]; js != nil && adopting.gained[a.Job] {
-			s.describe(a, &js.Record.Job, js.EffectivePriority)
+		} else if queued := s.jobs[a.Job]; queued != nil && adopting.gained[a.Job] {
+			s.describe(a, &queued.Record.Job, queued.EffectivePriority)
 			s.trackRemoteLocked(a, host, fm.Zone)
 		}
 	}
@@ -266,7 +266,7 @@
 			over[a.Job] = outcome
 			continue
 		}
-		s.adoptLocked(m, a)
+		s.adoptAttemptLocked(m, a)
 	}
 	for id, outcome := range over {
 		s.endTasksOnLocked(m, id, outcome, now.Add(2*s.opts.Settings.ReportEvery))
--- a/internal/scheduler/remote.go
+++ b/internal/scheduler/remote.go
@@ -29,14 +29,14 @@
 		return
 	}
 	s.remoteAttempts.Add(&remote.Attempt{Attempt: a, Host: host, HostSince: s.epoch.Members[host].Since})
-	s.countLocked(zone, a)
+	s.countAttemptLocked(zone, a)
 }
 
 // forgetRemoteLocked drops a remote attempt: it is surely gone, or not this
 // scheduler's to count any more.
 func (s *Scheduler) forgetRemoteLocked(a *remote.Attempt) {
 	s.remoteAttempts.Delete(a.Key)
-	s.uncountLocked(a.Attempt)
+	s.uncountAttemptLocked(a.Attempt)
 }
 
 // moveZoneLocked notes in which zone a remote attempt is.
@@ -44,9 +44,9 @@
 	if !a.Counted || a.Zone == zone {
 		return
 	}
-	if js := s.jobs[a.Job]; js != nil {
-		js.Zones[a.Zone]--
-		js.Zones[zone]++
+	if queued := s.jobs[a.Job]; queued != nil {
+		queued.Zones[a.Zone]--
+		queued.Zones[zone]++
 	}
 	a.Zone = zone
 }
@@ -71,10 +71,10 @@
 // remoteCandidatesLocked returns the jobs that wait for room. It is urgent
 // where one of them waits only to hear of room beside its image.
 func (s *Scheduler) remoteCandidatesLocked(now time.Time) (waiting []*queue.Job, urgent bool) {
-	for _, js := range s.jobs {
-		awaitsHeld := now.Sub(js.ImageWaitSince) < heldPatience
-		if (awaitsHeld || !js.UnplacedSince.IsZero()) && js.Pending() > 0 && s.teams.WithinLimit(js, 1) && !now.Before(js.NotBefore) && !js.FailsEverywhere() {
-			waiting = append(waiting, js)
+	for _, queued := range s.jobs {
+		awaitsHeld := now.Sub(queued.ImageWaitSince) < imageWaitTimeout
+		if (awaitsHeld || !queued.UnplacedSince.IsZero()) && queued.Pending() > 0 && s.teams.WithinLimit(queued, 1) && !now.Before(queued.NotBefore) && !queued.FailsEverywhere() {
+			waiting = append(waiting, queued)
 			urgent = urgent || awaitsHeld
 		}
 	}
@@ -123,11 +123,11 @@
 func (s *Scheduler) placeRequestLocked(node string, waiting []*queue.Job) *peerpb.PlaceRequest {
 	req := &peerpb.PlaceRequest{Node: s.opts.Node, Token: s.epoch.Token}
 	requested := 0
-	for _, js := range waiting {
+	for _, queued := range waiting {
 		if requested >= maxRequestTasks {
 			break
 		}
-		wanted := s.wantedLocked(js, node, maxRequestTasks-requested)
+		wanted := s.wantedLocked(queued, node, maxRequestTasks-requested)
 		requested += len(wanted.Attempts)
 		if len(wanted.Attempts) > 0 {
 			req.Wanted = append(req.Wanted, wanted)
@@ -136,24 +136,24 @@
 	return req
 }
 
-// wantedLocked takes up to budget next tasks of js, maxRequestTasksPerJob at
+// wantedLocked takes up to budget next tasks of queued, maxRequestTasksPerJob at
 // most, as new attempts that are requested of node.
-func (s *Scheduler) wantedLocked(js *queue.Job, node string, budget int) *peerpb.Wanted {
-	wanted := &peerpb.Wanted{Job: js.Record.Job.ID, Guaranteed: s.teams.Guaranteed(js), Pending: uint32(js.Unplaced()), Zones: map[string]uint32{},
-		Held: js.UnplacedSince.IsZero()}
-	for zone, n := range js.Zones {
+func (s *Scheduler) wantedLocked(queued *queue.Job, node string, budget int) *peerpb.Wanted {
+	wanted := &peerpb.Wanted{Job: queued.Record.Job.ID, Guaranteed: s.teams.Guaranteed(queued), Pending: uint32(queued.Unplaced()), Zones: map[string]uint32{},
+		Held: queued.UnplacedSince.IsZero()}
+	for zone, n := range queued.Zones {
 		if n > 0 {
 			wanted.Zones[zone] = uint32(n)
 		}
 	}
-	for len(wanted.Attempts) < min(budget, maxRequestTasksPerJob) && s.teams.WithinLimit(js, 1) {
-		index, ok := js.NextTask()
+	for len(wanted.Attempts) < min(budget, maxRequestTasksPerJob) && s.teams.WithinLimit(queued, 1) {
+		index, ok := queued.NextTask()
 		if !ok {
 			break
 		}
-		js.Dequeue()
-		js.Requested++
-		a := s.newAttempt(js, index)
+		queued.Dequeue()
+		queued.Requested++
+		a := s.newAttempt(queued, index)
 		s.trackRemoteLocked(a, node, "")
 		s.remoteAttempts.Get(a.Key).Requested = true
 		wanted.Attempts = append(wanted.Attempts, &peerpb.Attempt{Task: a.Task, Attempt: a.Attempt})
@@ -196,8 +196,8 @@
 // takePlacedAttemptLocked settles one attempt of a placement request by the
 // answer: taken holds those that the peer took.
 func (s *Scheduler) takePlacedAttemptLocked(node, job string, key fleet.Key, taken map[fleet.Key]*peerpb.Hosted, err error) {
-	if js := s.jobs[job]; js != nil {
-		js.Requested--
+	if queued := s.jobs[job]; queued != nil {
+		queued.Requested--
 	}
 	a := s.remoteAttempts.Get(key)
 	if a == nil {
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -150,24 +150,24 @@
 		a := e.Attempt
 		switch e.Kind {
 		case fleet.Found:
-			s.adoptLocked(m, a)
+			s.adoptAttemptLocked(m, a)
 			if a.Exited() {
-				s.exitedLocked(m, a)
+				s.attemptExitedLocked(m, a)
 			}
 		case fleet.Started:
 			s.log.Debug("started", "task", a.Task, "machine", m.Name, "after", time.Since(a.Placed))
-			if js := s.jobOf(a.Job); js != nil && a.Service {
-				js.Succeeded = true
+			if queued := s.jobOf(a.Job); queued != nil && a.Service {
+				queued.Succeeded = true
 			}
 		case fleet.Exited:
-			s.exitedLocked(m, a)
+			s.attemptExitedLocked(m, a)
 		case fleet.Lost:
 			log := s.log.Info
 			if a.Restored {
 				log = s.log.Debug // most of those had ended before the takeover
 			}
 			log("task lost", "task", a.Task, "attempt", a.Attempt, "machine", m.Name)
-			s.uncountLocked(a)
+			s.uncountAttemptLocked(a)
 		}
 	}
 	s.closeIfEmptyLocked(m)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -191,7 +191,7 @@
 	detector          *detector.Detector
 	syncWaits         bool // for that
 	list              placement.List[*machine]
-	cycle             schedulingPass
+	pass              schedulingPass
 	numbers           attemptNumbers
 	inventory         *autoscale.Inventory
 	planner           *autoscale.Planner // shares types and inventory
@@ -199,7 +199,7 @@
 	serial            uint64 // numbers what must never be named alike under one token
 	raising           bool
 	raised            time.Time
-	resolve           map[string]bool // jobs being looked up
+	resolving         map[string]bool // jobs being looked up
 	idleReserve       int             // how many machines may stay idle
 	ledSince          time.Time       // when this controller last began to lead
 	resigned          time.Time
@@ -221,7 +221,7 @@
 		types: map[string]*wire.MachineType{}, teams: queue.NewTeams(opts.Settings.Teams),
 		wake:          make(chan struct{}, 1),
 		answeredEarly: map[string]time.Time{}, unknownTasksSince: map[string]time.Time{}, jobs: map[string]*queue.Job{}, machines: map[string]*machine{},
-		inventory: autoscale.NewInventory(), resolve: map[string]bool{},
+		inventory: autoscale.NewInventory(), resolving: map[string]bool{},
 		hostedJobs: map[string]*queue.Job{}, remoteAttempts: remote.NewAttempts(),
 		moving: map[string]bool{},
 	}
--- a/internal/scheduler/schedulingpass.go
+++ b/internal/scheduler/schedulingpass.go
@@ -19,8 +19,8 @@
 	// lacks: no machine has room for the size, wherever it may go.
 	lacks    map[placement.Resources]bool
 	reserved map[string]int // by job, the guests' tasks that room is kept for; nil: not counted yet
-	// passedUp: a job of the turn that is being served leaves room to others.
-	passedUp bool
+	// deferred: a job of the turn that is being served leaves room to others.
+	deferred bool
 	// Of the tasks that may be stopped: the lowest priority, and whether any
 	// team is above its guarantee.
 	victims bool // whether the two have been looked for
@@ -39,12 +39,12 @@
 
 // placementClassOf returns the class of a job's tasks; ok is false for one whose tasks are bound to
 // more than that.
-func placementClassOf(js *queue.Job) (class placementClass, ok bool) {
-	j := &js.Record.Job
-	if j.Spread || j.OneZone || js.HasFailed() {
+func placementClassOf(queued *queue.Job) (class placementClass, ok bool) {
+	j := &queued.Record.Job
+	if j.Spread || j.OneZone || queued.HasFailed() {
 		return placementClass{}, false
 	}
-	class = placementClass{size: js.Size, spot: j.Spot}
+	class = placementClass{size: queued.Size, spot: j.Spot}
 	if j.Zone != nil {
 		class.zone = *j.Zone
 	}
@@ -56,13 +56,13 @@
 
 // beginPassLocked forgets what the last pass has found.
 func (s *Scheduler) beginPassLocked() {
-	s.cycle = schedulingPass{number: s.cycle.number + 1, full: map[placementClass]bool{}, lacks: map[placement.Resources]bool{}}
+	s.pass = schedulingPass{number: s.pass.number + 1, full: map[placementClass]bool{}, lacks: map[placement.Resources]bool{}}
 }
 
 // lacksRoomLocked tells whether no machine has room for a task of the size: it
 // need not be walked for, whatever it is bound to.
 func (s *Scheduler) lacksRoomLocked(size placement.Resources, now time.Time) bool {
-	if s.cycle.lacks[size] {
+	if s.pass.lacks[size] {
 		return true
 	}
 	for _, m := range s.machines {
@@ -70,31 +70,31 @@
 			return false
 		}
 	}
-	s.cycle.lacks[size] = true
+	s.pass.lacks[size] = true
 	return true
 }
 
 // reservedLocked counts the tasks of guests that room is kept for, by job.
 func (s *Scheduler) reservedLocked(now time.Time) map[string]int {
-	if s.cycle.reserved == nil {
-		s.cycle.reserved = map[string]int{}
+	if s.pass.reserved == nil {
+		s.pass.reserved = map[string]int{}
 		for _, m := range s.machines {
 			for _, k := range m.reservations {
 				if now.Before(k.until) {
-					s.cycle.reserved[k.job]++
+					s.pass.reserved[k.job]++
 				}
 			}
 		}
 	}
-	return s.cycle.reserved
+	return s.pass.reserved
 }
 
 // lookLocked brings up to date what the pass knows of a machine.
 func (s *Scheduler) lookLocked(m *machine, now time.Time) {
-	if m.looked == s.cycle.number && m.looked > 0 {
+	if m.looked == s.pass.number && m.looked > 0 {
 		return
 	}
-	m.looked, m.usable, m.free = s.cycle.number, s.acceptsLocked(m, now), placement.Resources{}
+	m.looked, m.usable, m.free = s.pass.number, s.acceptsLocked(m, now), placement.Resources{}
 	if m.usable {
 		m.free, m.usable = m.Room()
 	}
@@ -104,32 +104,32 @@
 // the pass first asked, spot ones before ordinary ones, which other jobs may
 // need, then by name.
 func (s *Scheduler) idleMachinesLocked(now time.Time) []*machine {
-	if s.cycle.idle == nil {
-		s.cycle.idle = []*machine{}
+	if s.pass.idle == nil {
+		s.pass.idle = []*machine{}
 		for _, m := range s.machines {
 			if s.list.Has(m) {
 				continue
 			}
 			if s.lookLocked(m, now); m.usable {
-				s.cycle.idle = append(s.cycle.idle, m)
+				s.pass.idle = append(s.pass.idle, m)
 			}
 		}
-		slices.SortFunc(s.cycle.idle, func(a, b *machine) int {
+		slices.SortFunc(s.pass.idle, func(a, b *machine) int {
 			return cmp.Or(-cmp.Compare(boolInt(a.Spot), boolInt(b.Spot)), cmp.Compare(a.Name, b.Name))
 		})
 	}
-	return s.cycle.idle
+	return s.pass.idle
 }
 
 // idleLocked returns the idle machine to open for the job: one that holds its
 // image before others.
-func (s *Scheduler) idleLocked(js *queue.Job, now time.Time) *machine {
+func (s *Scheduler) idleLocked(queued *queue.Job, now time.Time) *machine {
 	var first *machine
 	for _, m := range s.idleMachinesLocked(now) {
-		if s.list.Has(m) || s.machines[m.Name] != m || !s.fitsLocked(js, m, now) {
+		if s.list.Has(m) || s.machines[m.Name] != m || !s.fitsLocked(queued, m, now) {
 			continue
 		}
-		if m.HasImage(js.Record.Job.Image) {
+		if m.HasImage(queued.Record.Job.Image) {
 			return m
 		}
 		if first == nil {
@@ -141,8 +141,8 @@
 
 // mayPreemptAnyLocked tells whether there can be any task that the job may
 // have stopped: looking for the best on every machine takes long.
-func (s *Scheduler) mayPreemptAnyLocked(js *queue.Job, guaranteed bool) bool {
-	if p := &s.cycle; !p.victims {
+func (s *Scheduler) mayPreemptAnyLocked(queued *queue.Job, guaranteed bool) bool {
+	if p := &s.pass; !p.victims {
 		p.victims = true
 		for _, m := range s.machines {
 			for _, a := range m.Attempts.All() {
@@ -153,7 +153,7 @@
 		}
 		p.above = s.teams.AnyAboveGuarantee()
 	}
-	return js.EffectivePriority < s.cycle.lowest || guaranteed && s.cycle.above
+	return queued.EffectivePriority < s.pass.lowest || guaranteed && s.pass.above
 }
 
 func boolInt(b bool) int {
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/serve.go
@@ -18,15 +18,15 @@
 		return
 	}
 	var waiting []*queue.Job
-	for _, js := range s.jobs {
-		if js.Pending() <= 0 {
-			if js.Requested == 0 {
-				js.UnplacedSince, js.ImageWaitSince = time.Time{}, time.Time{}
+	for _, queued := range s.jobs {
+		if queued.Pending() <= 0 {
+			if queued.Requested == 0 {
+				queued.UnplacedSince, queued.ImageWaitSince = time.Time{}, time.Time{}
 			}
 			continue
 		}
-		if js.Eligible(now) {
-			waiting = append(waiting, js)
+		if queued.Eligible(now) {
+			waiting = append(waiting, queued)
 		}
 	}
 	if len(waiting) == 0 || !s.numbersLeftLocked(now) {
@@ -47,7 +47,7 @@
 		for n < len(turns) && turns[n].SameTurn(turns[0]) {
 			n++
 		}
-		s.cycle.passedUp = false
+		s.pass.deferred = false
 		for _, t := range turns[:n] {
 			s.serveLocked(t.Job, now, true)
 		}
@@ -60,31 +60,31 @@
 
 // serveLocked gives a job what there is for it. With held, an array goes only
 // where its image is.
-func (s *Scheduler) serveLocked(js *queue.Job, now time.Time, held bool) {
+func (s *Scheduler) serveLocked(queued *queue.Job, now time.Time, held bool) {
 	switch {
-	case js.Hosted:
-		s.reserveLocked(js, now, held)
-	case js.Record.Job.Kind == wire.KindArray:
-		s.placeJobLocked(js, now, held)
+	case queued.Hosted:
+		s.reserveLocked(queued, now, held)
+	case queued.Record.Job.Kind == wire.KindArray:
+		s.placeJobLocked(queued, now, held)
 	case !held:
-	case js.Record.Job.Kind == wire.KindGang:
-		s.placeGangLocked(js, now)
+	case queued.Record.Job.Kind == wire.KindGang:
+		s.placeGangLocked(queued, now)
 	default:
-		s.placeJobLocked(js, now, false)
+		s.placeJobLocked(queued, now, false)
 	}
 }
 
-// passesUpLocked tells whether a job leaves a machine that would have to fetch
+// defersFetchLocked tells whether a job leaves a machine that would have to fetch
 // its image to others whose image it holds: for as long as the fetch would
 // take, since then waiting has cost as much, and whenever one before it does.
-func (s *Scheduler) passesUpLocked(js *queue.Job, now time.Time) bool {
-	if js.DeferredSince.IsZero() {
-		js.DeferredSince = now
+func (s *Scheduler) defersFetchLocked(queued *queue.Job, now time.Time) bool {
+	if queued.DeferredSince.IsZero() {
+		queued.DeferredSince = now
 	}
-	if now.Sub(js.DeferredSince) <= js.ImageFetchTime {
-		s.cycle.passedUp = true
+	if now.Sub(queued.DeferredSince) <= queued.ImageFetchTime {
+		s.pass.deferred = true
 	}
-	return s.cycle.passedUp
+	return s.pass.deferred
 }
 
 // reservedFor is how long room kept for a guest waits for it; its owner asks again
@@ -98,7 +98,7 @@
 	kept := s.reservedLocked(now)
 	wants := min(g.OwnerUnplaced, maxRequestTasksPerJob) - kept[id]
 	class, plain := placementClassOf(g)
-	if wants <= 0 || plain && s.cycle.full[class] || s.lacksRoomLocked(g.Size, now) {
+	if wants <= 0 || plain && s.pass.full[class] || s.lacksRoomLocked(g.Size, now) {
 		return
 	}
 	keep := func(m *machine) {
@@ -119,7 +119,7 @@
 		}
 	}
 	if plain && !held && wants > 0 {
-		s.cycle.full[class] = true
+		s.pass.full[class] = true
 	}
 }
 
--- a/internal/scheduler/settle.go
+++ b/internal/scheduler/settle.go
@@ -97,6 +97,6 @@
 	s.moveZoneLocked(a, hosted.Zone)
 	a.State, a.Why = wire.TaskState(hosted.State), wire.ExitReason(hosted.Why)
 	if a.Exited() {
-		s.endedLocked(a.Attempt, now)
+		s.attemptEndedLocked(a.Attempt, now)
 	}
 }
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -20,9 +20,9 @@
 		}
 	}
 	_, total, free := s.statusLocked(now)
-	for _, js := range s.jobs {
-		if js.Ready {
-			waiting += js.Pending()
+	for _, queued := range s.jobs {
+		if queued.Ready {
+			waiting += queued.Pending()
 		} else {
 			notReady++
 		}
