--- a/internal/scheduler/attemptnumbers.go
+++ b/internal/scheduler/attemptnumbers.go
@@ -12,7 +12,7 @@
 	noNumbersLeft = 1 << (attemptBits - 3)
 )
 
-// attemptNumbers gives each attempt of a share a number higher than all before it,
+// attemptNumbers gives each attempt of a scheduler a number higher than all before it,
 // and than all that were given under earlier tokens.
 type attemptNumbers struct{ last uint64 }
 
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -10,8 +10,8 @@
 	"heronwick/wire"
 )
 
-// adoptAttemptLocked takes in an attempt that was recorded before or that a report
-// shows unexpectedly.
+// adoptAttemptLocked takes in an attempt on a machine of the scheduler that was
+// recorded before or that a heartbeat shows unexpectedly.
 func (s *Scheduler) adoptAttemptLocked(m *machine, a *fleet.Attempt) {
 	queued := s.jobs[a.Job]
 	if queued == nil {
@@ -41,8 +41,10 @@
 	s.closeIfEmptyLocked(m)
 }
 
-func (s *Scheduler) describe(a *fleet.Attempt, j *wire.Job, rank int) {
-	a.Team, a.Rank, a.Service = j.Team, rank, j.Kind == wire.KindService
+// describe fills in what an attempt has of its job, and the job's effective
+// priority.
+func (s *Scheduler) describe(a *fleet.Attempt, j *wire.Job, priority int) {
+	a.Team, a.Rank, a.Service = j.Team, priority, j.Kind == wire.KindService
 	a.Image, a.ImageGB = j.Image, j.ImageGB
 	a.Size, a.Sized = placement.Of(j), true
 	if j.CheckpointS > 0 {
@@ -58,6 +60,8 @@
 // graceFor leaves a task a little more than its owner says it needs to save.
 func graceFor(j *wire.Job) float64 { return j.SaveS*1.25 + 0.5 }
 
+// countAttemptLocked counts an attempt that may be on a machine in the zone, for
+// its team and its job.
 func (s *Scheduler) countAttemptLocked(zone string, a *fleet.Attempt) {
 	if a.Counted {
 		return
@@ -88,7 +92,17 @@
 	}
 }
 
-// attemptExitedLocked takes the end of an attempt on a machine of the share.
+const (
+	// refusedMachineDelay is how long nothing is placed on a machine whose worker
+	// has refused a start.
+	refusedMachineDelay = time.Second
+	// refusedStartDelay is how long no task of a job is placed after a start was
+	// refused.
+	refusedStartDelay = 500 * time.Millisecond
+)
+
+// attemptExitedLocked takes the end of an attempt on a machine of the scheduler,
+// hosted or not: what it says of the machine, then of the job.
 func (s *Scheduler) attemptExitedLocked(m *machine, a *fleet.Attempt) {
 	now := time.Now()
 	s.log.Debug("exited", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "why", a.Why, "since_placed", now.Sub(a.Placed))
@@ -102,13 +116,13 @@
 		}
 	}
 	if a.Why == wire.ExitNoCapacity || a.Why == wire.ExitBusy {
-		m.cooling = now.Add(time.Second)
+		m.cooling = now.Add(refusedMachineDelay)
 	}
 	s.attemptEndedLocked(a, now)
 }
 
-// attemptEndedLocked draws the consequences of an attempt's end for its job, on
-// whoever's machine it was.
+// attemptEndedLocked draws the consequences of an attempt's end for its job,
+// whether it was on a machine of the scheduler or a remote one.
 func (s *Scheduler) attemptEndedLocked(a *fleet.Attempt, now time.Time) {
 	queued := s.jobs[a.Job]
 	if queued == nil {
@@ -118,11 +132,7 @@
 		return
 	}
 	if a.Why == wire.ExitDone && !a.Service {
-		queued.Succeeded = true
-		queued.Done.Complete(a)
-		s.uncountAttemptLocked(a)
-		s.stopOthersLocked(a)
-		s.finishLocked(queued)
+		s.taskDoneLocked(queued, a)
 		return
 	}
 	a.Handled = true
@@ -130,11 +140,20 @@
 	case wire.ExitStopped, wire.ExitDone, wire.ExitError, wire.ExitPeerLost, wire.ExitGangIncomplete:
 	default:
 		s.log.Info("start refused", "task", a.Task, "attempt", a.Attempt, "why", a.Why)
-		queued.NotBefore = now.Add(500 * time.Millisecond)
+		queued.NotBefore = now.Add(refusedStartDelay)
 	}
 	s.uncountAttemptLocked(a)
 }
 
+// taskDoneLocked notes that the task of an attempt is done.
+func (s *Scheduler) taskDoneLocked(queued *queue.Job, a *fleet.Attempt) {
+	queued.Succeeded = true
+	queued.Done.Complete(a)
+	s.uncountAttemptLocked(a)
+	s.stopOthersLocked(a)
+	s.finishLocked(queued)
+}
+
 // stopOthersLocked stops other attempts of a task that is done.
 func (s *Scheduler) stopOthersLocked(done *fleet.Attempt) {
 	queued := s.jobs[done.Job]
@@ -151,6 +170,10 @@
 	}
 }
 
+// suspectFailures is how many jobs that do not fail elsewhere must have failed on
+// a machine for it to be set aside.
+const suspectFailures = 2
+
 // taskFailedLocked judges a failure: is it the machine or the job? A machine on
 // which several jobs fail that do not fail elsewhere is set aside; a job that
 // fails on several machines and succeeds on none is tried again ever later.
@@ -167,7 +190,7 @@
 			evidence++
 		}
 	}
-	if evidence >= 2 && !m.quarantined {
+	if evidence >= suspectFailures && !m.quarantined {
 		m.quarantined = true
 		s.log.Info("machine set aside: jobs fail on it that do not fail elsewhere", "machine", m.Name)
 	}
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -25,7 +25,7 @@
 	at    time.Time // when the token last rose
 }
 
-// sameAssignment tells whether two epochs divide alike.
+// sameAssignment tells whether two epochs assign jobs and machines alike.
 func sameAssignment(a, b *cluster.Epoch) bool {
 	return a.Leader == b.Leader && a.Incarnation == b.Incarnation && maps.Equal(a.Members, b.Members) && maps.Equal(a.Teams, b.Teams)
 }
@@ -88,15 +88,15 @@
 	s.goDo(func(ctx context.Context) { s.rebuild(ctx, epoch, condition, gained, adopt) })
 }
 
-// acceptedInEpochLocked tells whether a job of the share was accepted under the
-// division that the share goes by: nobody else can have placed tasks of it, so
-// the records need not be read for it.
+// acceptedInEpochLocked tells whether a job of the scheduler was accepted under
+// the epoch that it acts under: nobody else can have placed tasks of it, so the
+// records need not be read for it.
 func (s *Scheduler) acceptedInEpochLocked(r *job.Record) bool {
 	return s.loaded && r.Version > s.epoch.since.Version
 }
 
 // beginsToLeadLocked tells whether this controller leads the epoch, and did not
-// lead by the division before.
+// lead the epoch before.
 func (s *Scheduler) beginsToLeadLocked(epoch *cluster.Epoch) bool {
 	return epoch.Leader == s.opts.Node && s.epoch.Leader != s.opts.Node
 }
@@ -112,7 +112,7 @@
 }
 
 // disownLocked lets go of jobs that now belong to others. Their tasks on the
-// share's machines are guests from now on; what is not recorded yet never
+// scheduler's machines are hosted from now on; what is not recorded yet never
 // starts.
 func (s *Scheduler) disownLocked(epoch *cluster.Epoch) {
 	lost := map[string]bool{}
@@ -144,8 +144,8 @@
 	}
 }
 
-// dropStaleHostedLocked removes guests that were not recorded under the
-// division in which their owner asked: it finds that they are not here.
+// dropStaleHostedLocked removes hosted attempts that were not recorded under the
+// epoch in which their owner asked: it finds that they are not here.
 func (s *Scheduler) dropStaleHostedLocked(m *machine) {
 	for _, a := range m.Attempts.All() {
 		if a.Guest && !a.Durable && a.Epoch < s.epoch.from {
@@ -156,7 +156,7 @@
 }
 
 // isReleasedLocked tells whether a machine was surely given back to the cloud, by
-// this share or by another.
+// this scheduler or by another.
 func (s *Scheduler) isReleasedLocked(name string) bool {
 	if s.inventory.IsReleased(name) {
 		return true
@@ -165,9 +165,9 @@
 	return o.Released()
 }
 
-// joinLocked decides about a worker whose machine this share does not have:
+// joinLocked decides about a worker whose machine this scheduler does not have:
 // one just given to it, or one that nobody owns. coming tells that its machine
-// is this share's and will be taken once the records are read.
+// is this scheduler's and will be taken once the records are read.
 func (s *Scheduler) joinLocked(r *wire.Heartbeat, now time.Time) (m *machine, coming bool) {
 	if s.isReleasedLocked(r.Machine) {
 		return nil, false // sent before its machine was returned
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -48,13 +48,13 @@
 	return nil
 }
 
-// canHandOverLocked tells whether a machine can change to another share: idle,
-// and nothing that this share has sent can still come to it.
+// canHandOverLocked tells whether a machine can change to another scheduler: idle,
+// and nothing that this scheduler has sent can still come to it.
 func (s *Scheduler) canHandOverLocked(m *machine, now time.Time) bool {
 	return s.usableLocked(m, now) && m.Idle() && !m.dirty && !m.sending && !m.RequestPending()
 }
 
-// handoverCandidatesLocked returns the machines that can change to another share,
+// handoverCandidatesLocked returns the machines that can change to another scheduler,
 // those idle for the longest first.
 func (s *Scheduler) handoverCandidatesLocked(now time.Time) []*machine {
 	var idle []*machine
@@ -122,12 +122,12 @@
 	}
 }
 
-// regroupEvery is how often idle machines are regrouped among the shares.
+// regroupEvery is how often idle machines are regrouped among the schedulers.
 const regroupEvery = 30 * time.Second
 
-// regroupLocked gives idle machines that are more than a share needs at hand
-// back to the leader, and lets the leader hand them to shares without one. A
-// share that starves gets them at once, see Place.
+// regroupLocked gives idle machines that are more than a scheduler needs at hand
+// back to the leader, and lets the leader hand them to schedulers without one. A
+// scheduler that starves gets them at once, see Place.
 func (s *Scheduler) regroupLocked(now time.Time) {
 	if !s.loaded || !s.permitted() || now.Sub(s.grouped) < regroupEvery {
 		return
@@ -148,7 +148,7 @@
 	if len(idle) <= 1 {
 		return
 	}
-	// So many stay at hand: what a share has in use tells what it will need.
+	// So many stay at hand: what a scheduler has in use tells what it will need.
 	keep := max(1, (len(s.machines)-len(idle))/4)
 	if len(idle) <= keep {
 		return
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -10,6 +10,9 @@
 	"heronwick/wire"
 )
 
+// resolveRetry is how long a failed look-up of a job waits.
+const resolveRetry = 300 * time.Millisecond
+
 // resolveJobLocked looks up a job that is not among the active ones, since tasks
 // of it may be on machines: it is over, or only not heard of yet.
 func (s *Scheduler) resolveJobLocked(id string) {
@@ -18,27 +21,29 @@
 	}
 	s.resolving[id] = true
 	s.goDo(func(ctx context.Context) {
-		for {
-			f, over, found, err := s.opts.Jobs.Resolve(ctx, id)
-			if err != nil {
-				if !wait.Sleep(ctx, 300*time.Millisecond) {
-					return
-				}
-				continue
-			}
-			s.mu.Lock()
-			delete(s.resolving, id)
-			if over || !found {
-				// When it ended is not known: perhaps long ago.
-				s.endJobLocked(id, f, time.Now().Add(s.opts.Settings.ReportEvery*2))
-			}
-			s.mu.Unlock()
-			return
+		for !s.resolveJob(ctx, id) && wait.Sleep(ctx, resolveRetry) {
 		}
 	})
 }
 
-// jobOf returns an own job or a guest.
+// resolveJob returns false if the job could not be looked up.
+func (s *Scheduler) resolveJob(ctx context.Context, id string) bool {
+	outcome, over, found, err := s.opts.Jobs.Resolve(ctx, id)
+	if err != nil {
+		return false
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.resolving, id)
+	if over || !found {
+		// When it ended is not known: perhaps long ago.
+		s.endJobLocked(id, outcome, time.Now().Add(s.opts.Settings.ReportEvery*2))
+	}
+	return true
+}
+
+// jobOf returns one of the scheduler's own jobs or a hosted one, nil if there is
+// neither.
 func (s *Scheduler) jobOf(id string) *queue.Job {
 	if queued := s.jobs[id]; queued != nil {
 		return queued
@@ -80,7 +85,7 @@
 	return queued
 }
 
-// newJob returns the state of a job, its own or a hosted one.
+// newJob returns the queue's state of a job, its own or a hosted one.
 func (s *Scheduler) newJob(r *job.Record) *queue.Job {
 	queued := queue.NewJob(r, s.opts.Settings.Objectives, s.types)
 	queued.SetReadiness(s.opts.Jobs.Readiness(r))
@@ -88,17 +93,17 @@
 }
 
 // JobEnded implements job.Listener.
-func (s *Scheduler) JobEnded(id string, f job.Outcome) {
+func (s *Scheduler) JobEnded(id string, outcome job.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.endJobLocked(id, f, time.Now().Add(s.opts.Settings.CancelIn*3/4))
+	s.endJobLocked(id, outcome, time.Now().Add(s.opts.Settings.CancelIn*3/4))
 }
 
 // endJobLocked forgets a job that is over and stops its tasks.
-func (s *Scheduler) endJobLocked(id string, f job.Outcome, goneBy time.Time) {
+func (s *Scheduler) endJobLocked(id string, outcome job.Outcome, goneBy time.Time) {
 	queued := s.jobs[id]
 	if queued != nil {
-		s.log.Debug("job over", "job", id, "state", f.State, "after", time.Since(queued.AcceptedAt))
+		s.log.Debug("job over", "job", id, "state", outcome.State, "after", time.Since(queued.AcceptedAt))
 		for a := range queued.Done.Unwritten() {
 			a.Handled = true
 		}
@@ -106,20 +111,20 @@
 	s.completions.Forget(id)
 	delete(s.jobs, id)
 	delete(s.hostedJobs, id)
-	s.endTasksLocked(id, f, goneBy)
+	s.endTasksLocked(id, outcome, goneBy)
 }
 
 // endTasksLocked stops every task of a job that is over, also those whose
 // start may still be under way.
-func (s *Scheduler) endTasksLocked(id string, f job.Outcome, goneBy time.Time) {
+func (s *Scheduler) endTasksLocked(id string, outcome job.Outcome, goneBy time.Time) {
 	for _, m := range s.machines {
-		s.endTasksOnLocked(m, id, f, goneBy)
+		s.endTasksOnLocked(m, id, outcome, goneBy)
 	}
 	s.poke()
 }
 
-func (s *Scheduler) endTasksOnLocked(m *machine, id string, f job.Outcome, goneBy time.Time) {
-	if f.State == wire.JobDone {
+func (s *Scheduler) endTasksOnLocked(m *machine, id string, outcome job.Outcome, goneBy time.Time) {
+	if outcome.State == wire.JobDone {
 		goneBy = time.Time{} // nobody was told that its tasks are gone
 	}
 	touched := false
@@ -139,8 +144,8 @@
 		}
 		a.Stop, a.GraceS, a.MustGoBy = true, 0, goneBy
 		if !a.Sized {
-			a.Team, a.Size, a.Sized = f.Team, sizeOf(f), true
-			if s.epoch.OwnerOf(f.Team, id) == s.opts.Node {
+			a.Team, a.Size, a.Sized = outcome.Team, sizeOf(outcome), true
+			if s.epoch.OwnerOf(outcome.Team, id) == s.opts.Node {
 				s.countAttemptLocked(m.Zone, a)
 			}
 		}
@@ -150,48 +155,3 @@
 		s.sendLocked(m)
 	}
 }
-
-const (
-	// progressFor is how long a change of progress is told, so that a lost
-	// message does not hide it.
-	progressFor = 3 * time.Second
-	// allProgressEvery is how often that of all jobs is told: to a controller
-	// that has started since, a job that goes on alike would stay queued.
-	allProgressEvery = 20 * time.Second
-)
-
-// Progress tells how far the jobs are whose progress has changed lately, and
-// now and then all, for display.
-func (s *Scheduler) Progress() map[string]job.Progress {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := time.Now()
-	running := map[string]int{}
-	for _, m := range s.machines {
-		for _, a := range m.Attempts.All() {
-			if a.State == wire.TaskRunning {
-				running[a.Job]++
-			}
-		}
-	}
-	for a := range s.remoteAttempts.All() {
-		if a.State == wire.TaskRunning {
-			running[a.Job]++
-		}
-	}
-	changed := map[string]job.Progress{}
-	if now.Sub(s.toldAll) >= allProgressEvery {
-		s.toldAll = now
-	}
-	all := now.Sub(s.toldAll) < progressFor
-	for id, queued := range s.jobs {
-		p := job.Progress{Done: queued.Done.Count, Running: running[id]}
-		if p != queued.ReportedProgress {
-			queued.ReportedProgress, queued.ProgressChangedAt = p, now
-		}
-		if all || now.Sub(queued.ProgressChangedAt) < progressFor {
-			changed[id] = p
-		}
-	}
-	return changed
-}
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -190,12 +190,12 @@
 	return ok
 }
 
-// imageWaitTimeout is how long a service's task waits for the other shares to say
+// imageWaitTimeout is how long a service's task waits for the other schedulers to say
 // whether they have room beside its image, before it goes where that must be
 // fetched.
 const imageWaitTimeout = 300 * time.Millisecond
 
-// awaitImageLocked tells whether the other shares are still to be asked.
+// awaitImageLocked tells whether the other schedulers are still to be asked.
 func (s *Scheduler) awaitImageLocked(queued *queue.Job, now time.Time) bool {
 	if queued.Record.Job.Kind != wire.KindService || len(s.epoch.Members) < 2 {
 		return false
@@ -241,7 +241,7 @@
 	if s.lookLocked(m, now); !m.usable || !queued.Size.Within(m.free) {
 		return false
 	}
-	return (len(m.reservations) == 0 || queued.Size.Within(s.roomLocked(m, queued.Record.Job.ID, now))) && s.allowedLocked(queued, m)
+	return (len(m.reservations) == 0 || queued.Size.Within(s.unreservedLocked(m, queued.Record.Job.ID, now))) && s.allowedLocked(queued, m)
 }
 
 func (s *Scheduler) allowedLocked(queued *queue.Job, m *machine) bool {
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -68,7 +68,7 @@
 func (s *Scheduler) carryOutPreemptionLocked(queued *queue.Job, plan *preemption.Plan, now time.Time) {
 	m := s.machines[plan.Machine.Name]
 	if queued.Hosted {
-		m.reservations = append(m.reservations, reservation{job: queued.Record.Job.ID, size: queued.Size, until: now.Add(reservedFor)})
+		m.reservations = append(m.reservations, reservation{job: queued.Record.Job.ID, size: queued.Size, until: now.Add(reservationTimeout)})
 	}
 	for _, a := range plan.Victims {
 		s.log.Info("preempting", "task", a.Task, "machine", m.Name, "for", queued.Record.Job.ID)
--- /dev/null
+++ b/internal/scheduler/progress.go
@@ -0,0 +1,60 @@
+package scheduler
+
+import (
+	"time"
+
+	"heronwick/internal/job"
+	"heronwick/wire"
+)
+
+const (
+	// progressRepeatFor is how long a change of progress is reported, so that a lost
+	// message does not hide it.
+	progressRepeatFor = 3 * time.Second
+	// allProgressEvery is how often that of all jobs is reported: to a controller
+	// that has started since, a job that goes on alike would stay queued.
+	allProgressEvery = 20 * time.Second
+)
+
+// Progress reports how far the jobs are whose progress has changed lately, and
+// now and then all, for display.
+func (s *Scheduler) Progress() map[string]job.Progress {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := time.Now()
+	running := s.runningTasksLocked()
+	changed := map[string]job.Progress{}
+	if now.Sub(s.progressReported) >= allProgressEvery {
+		s.progressReported = now
+	}
+	all := now.Sub(s.progressReported) < progressRepeatFor
+	for id, queued := range s.jobs {
+		p := job.Progress{Done: queued.Done.Count, Running: running[id]}
+		if p != queued.ReportedProgress {
+			queued.ReportedProgress, queued.ProgressChangedAt = p, now
+		}
+		if all || now.Sub(queued.ProgressChangedAt) < progressRepeatFor {
+			changed[id] = p
+		}
+	}
+	return changed
+}
+
+// runningTasksLocked counts the tasks that run, by job: own and hosted ones here,
+// own ones at other schedulers.
+func (s *Scheduler) runningTasksLocked() map[string]int {
+	running := map[string]int{}
+	for _, m := range s.machines {
+		for _, a := range m.Attempts.All() {
+			if a.State == wire.TaskRunning {
+				running[a.Job]++
+			}
+		}
+	}
+	for remote := range s.remoteAttempts.All() {
+		if remote.State == wire.TaskRunning {
+			running[remote.Job]++
+		}
+	}
+	return running
+}
--- a/internal/scheduler/remote.go
+++ b/internal/scheduler/remote.go
@@ -45,8 +45,7 @@
 		return
 	}
 	if queued := s.jobs[a.Job]; queued != nil {
-		queued.Zones[a.Zone]--
-		queued.Zones[zone]++
+		queued.AttemptMoved(a.Zone, zone)
 	}
 	a.Zone = zone
 }
--- a/internal/scheduler/reports.go
+++ b/internal/scheduler/reports.go
@@ -10,7 +10,7 @@
 	"heronwick/wire"
 )
 
-// HandleHeartbeat takes a worker's report. It returns nil if this share has no right
+// HandleHeartbeat takes a worker's report. It returns nil if this scheduler has no right
 // to answer it.
 func (s *Scheduler) HandleHeartbeat(r *wire.Heartbeat) *wire.HeartbeatReply {
 	now := time.Now()
@@ -21,7 +21,7 @@
 		return nil
 	}
 	if node, owned := s.opts.Authority.HeartbeatTarget(r.Machine); owned && node != s.opts.Node {
-		return nil // given since, whatever this share has not followed yet
+		return nil // given since, whatever this scheduler has not followed yet
 	}
 	m, coming := s.machines[r.Machine], false
 	if m == nil {
@@ -31,7 +31,7 @@
 	if m == nil {
 		if !coming || s.doubtfulLocked(r, now) {
 			// Answering a machine that is another's would renew a lease that
-			// its owner counts as lapsed.
+			// its owner counts as expired.
 			return nil
 		}
 		s.answeredEarly[r.Machine] = now
@@ -62,7 +62,7 @@
 func (s *Scheduler) doubtFor() time.Duration { return s.opts.Settings.LeaseFor / 4 }
 
 // doubtfulLocked tells whether a worker has had tasks of unknown jobs for so
-// long that its lease must lapse. Such a job may be over: cancelled before this
+// long that its lease must expire. Such a job may be over: cancelled before this
 // controller read the jobs, while the state service, which would tell, is out
 // for longer than the tasks may stay.
 func (s *Scheduler) doubtfulLocked(r *wire.Heartbeat, now time.Time) bool {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -134,21 +134,12 @@
 	failedJobs   map[string]bool
 	idleSince    time.Time
 	cooling      time.Time // no placements before then
-	// Room that is kept for guests until they ask again: they are not in this
-	// scheduler's queue.
 	reservations []reservation
 
 	base  uint64 // reports under older tokens do not settle its record
 	fence uint64 // nobody else answers its worker once epochs before this are fenced; 0: nobody does
 }
 
-// reservation is room for one task of a guest.
-type reservation struct {
-	job   string
-	size  placement.Resources
-	until time.Time
-}
-
 // Scheduler schedules one controller's part of the cluster: its jobs, its
 // machines and its Move To Front list. Its methods are safe for concurrent use.
 type Scheduler struct {
@@ -157,8 +148,8 @@
 	types map[string]*wire.MachineType
 	teams *queue.Teams
 	wake  chan struct{}
-	// epochChecked is cleared when the epoch, an owner or a job may ask for another
-	// division: looking for that takes as long as the fleet is large.
+	// epochChecked is cleared when the epoch, an owner or a job may change the
+	// shard assignment: looking for that takes as long as the fleet is large.
 	epochChecked atomic.Bool
 	summary      atomic.Pointer[summary]
 	ctx          context.Context
@@ -206,7 +197,7 @@
 	grouped           time.Time // when idle machines were last regrouped
 	shedAt            time.Time // when some were last given away for want of processor time
 	overloaded        time.Time // when this controller was last short of processor time
-	toldAll           time.Time // when the progress of all jobs was last told
+	progressReported  time.Time // when the progress of all jobs was last reported
 	passes            passTimes // since the load was last logged
 	upkeep            upkeep
 
--- a/internal/scheduler/schedulingpass.go
+++ b/internal/scheduler/schedulingpass.go
@@ -9,16 +9,17 @@
 	"heronwick/internal/queue"
 )
 
-// schedulingPass is what one schedulingPass of placing has found out and need not find out again
-// for each task of each job: nothing but its own placements changes meanwhile.
-// It never changes which machine is chosen, only how often one is looked at.
+// schedulingPass is what one pass over the queue has found out and need not find
+// out again for each task of each job: nothing but its own placements changes
+// meanwhile. It never changes which machine is chosen, only how often one is
+// looked at.
 type schedulingPass struct {
 	number uint64
 	idle   []*machine              // usable and not open, in the order of opening; nil: not looked for yet
-	full   map[placementClass]bool // no machine takes a task of the shape
+	full   map[placementClass]bool // no machine takes a task of the class
 	// lacks: no machine has room for the size, wherever it may go.
 	lacks    map[placement.Resources]bool
-	reserved map[string]int // by job, the guests' tasks that room is kept for; nil: not counted yet
+	reserved map[string]int // by job, the hosted tasks that room is reserved for; nil: not counted yet
 	// deferred: a job of the turn that is being served leaves room to others.
 	deferred bool
 	// Of the tasks that may be stopped: the lowest priority, and whether any
@@ -37,8 +38,8 @@
 	types string
 }
 
-// placementClassOf returns the class of a job's tasks; ok is false for one whose tasks are bound to
-// more than that.
+// placementClassOf returns the class of a job's tasks; ok is false for a job whose
+// tasks are bound to more than that.
 func placementClassOf(queued *queue.Job) (class placementClass, ok bool) {
 	j := &queued.Record.Job
 	if j.Spread || j.OneZone || queued.HasFailed() {
@@ -74,21 +75,6 @@
 	return true
 }
 
-// reservedLocked counts the tasks of guests that room is kept for, by job.
-func (s *Scheduler) reservedLocked(now time.Time) map[string]int {
-	if s.pass.reserved == nil {
-		s.pass.reserved = map[string]int{}
-		for _, m := range s.machines {
-			for _, k := range m.reservations {
-				if now.Before(k.until) {
-					s.pass.reserved[k.job]++
-				}
-			}
-		}
-	}
-	return s.pass.reserved
-}
-
 // lookLocked brings up to date what the pass knows of a machine.
 func (s *Scheduler) lookLocked(m *machine, now time.Time) {
 	if m.looked == s.pass.number && m.looked > 0 {
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -7,7 +7,7 @@
 	"heronwick/internal/placement"
 )
 
-// logLoadLocked tells an operator how full the share is.
+// logLoadLocked tells an operator how full the scheduler is.
 func (s *Scheduler) logLoadLocked(now time.Time) {
 	usable, open, tasks, waiting, notReady := 0, 0, 0, 0, 0
 	for _, m := range s.machines {
@@ -33,7 +33,7 @@
 	s.passes = passTimes{}
 }
 
-// statusLocked sums what the share has.
+// statusLocked sums what the scheduler has.
 func (s *Scheduler) statusLocked(now time.Time) (idle int, total, free placement.Resources) {
 	for _, m := range s.machines {
 		if !s.usableLocked(m, now) {
@@ -47,7 +47,7 @@
 	return idle, total, free
 }
 
-// summary is what the peers are told of the share.
+// summary is what the peers are told of the scheduler.
 type summary struct {
 	machines, idle int
 	cpus, freeCPUs float64
@@ -66,7 +66,7 @@
 		cut: s.detector.Partitioned(), overloaded: s.overloadedLocked(now), wants: s.wantsLocked(now)})
 }
 
-// Status fills in what the peers are told of the share, as last summarized. It
+// Status fills in what the peers are told of the scheduler, as last summarized. It
 // takes no lock: a heartbeat must not wait behind passes and reports, or a busy
 // controller is taken for dead.
 func (s *Scheduler) Status(status *peerpb.Status) {
