--- /dev/null
+++ b/internal/scheduler/commands.go
@@ -0,0 +1,68 @@
+package scheduler
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"heronwick/internal/fleet"
+	"heronwick/wire"
+)
+
+// commandTimeout bounds a direct command; the answer to the next heartbeat brings
+// it again.
+const commandTimeout = 2 * time.Second
+
+// command sends commands straight to a worker, for as long
+// as commandTimeout allows.
+func (s *Scheduler) command(ctx context.Context, address string, req *wire.CommandRequest) (*wire.Heartbeat, error) {
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
+	defer cancel()
+	return s.opts.Workers.Command(ctx, address, req)
+}
+
+// wantsDirectLocked tells whether waiting for the next heartbeat would cost
+// time: stops make room for what waits.
+func (s *Scheduler) wantsDirectLocked(m *machine) bool {
+	for _, a := range m.Attempts.All() {
+		if a.Stop && a.State != "" && !a.Exited() && a.State != wire.TaskSaving {
+			return true
+		}
+	}
+	return false
+}
+
+// sendLocked sends a worker what it should be told, without waiting for its
+// next heartbeat.
+func (s *Scheduler) sendLocked(m *machine) {
+	if m.sending {
+		m.sendAgain = true
+		return
+	}
+	token, permitted := s.opts.Authority.FencingToken()
+	if m.Address == "" || !m.HeartbeatSeen || !permitted {
+		return
+	}
+	req := m.DirectRequest(token)
+	if req == nil {
+		return
+	}
+	m.sending = true
+	address := m.Address
+	s.goDo(func(ctx context.Context) {
+		heartbeat, err := s.command(ctx, address, req)
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		m.sending = false
+		m.DirectRequestDone(req, err == nil || errors.Is(err, fleet.ErrNoSocket))
+		if !s.answeredLocked(m, err) {
+			m.sendAgain = false
+			return
+		}
+		s.applyLocked(m, heartbeat)
+		if m.sendAgain {
+			m.sendAgain = false
+			s.sendLocked(m)
+		}
+	})
+}
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -18,14 +18,15 @@
 type epochState struct {
 	cluster.Epoch
 	condition wire.Condition
-	// since is the condition, and from the token, when this epoch began; the
-	// fencing token may have been raised since, which changes no owner.
-	since wire.Condition
-	from  uint64
-	at    time.Time // when the token last rose
+	// assigned is the condition, and assignedToken the token, when the shards were
+	// last assigned anew; the fencing token may have been raised since, which changes
+	// no owner.
+	assigned      wire.Condition
+	assignedToken uint64
+	raisedAt      time.Time // when the token last rose
 }
 
-// sameAssignment tells whether two epochs assign jobs and machines alike.
+// sameAssignment tells whether two epochs assign the shards alike.
 func sameAssignment(a, b *cluster.Epoch) bool {
 	return a.Leader == b.Leader && a.Incarnation == b.Incarnation && maps.Equal(a.Members, b.Members) && maps.Equal(a.Teams, b.Teams)
 }
@@ -36,8 +37,8 @@
 
 func (s *Scheduler) leadsLocked() bool { return s.loaded && s.epoch.Leader == s.opts.Node }
 
-// followEpochLocked follows the epoch and the owners of machines: what is ours now
-// is rebuilt, what is no longer ours is let go.
+// followEpochLocked follows the epoch and the owners of machines: what is the
+// scheduler's now is rebuilt, what is no longer its own is let go.
 func (s *Scheduler) followEpochLocked() {
 	if s.building {
 		return
@@ -48,30 +49,52 @@
 		return // an owner's write of the epoch before may be missing; the watch brings it
 	}
 	if s.loaded && epoch.Token != s.epoch.Token && sameAssignment(&epoch, &s.epoch.Epoch) {
-		// Only the token has risen.
-		if s.adopted == s.epoch.Token {
-			s.adopted = epoch.Token
-		}
-		s.epoch.Epoch, s.epoch.condition, s.epoch.at = epoch, condition, time.Now()
+		s.takeTokenLocked(epoch, condition)
+	}
+	if epoch.Leader != s.opts.Node {
+		orphans = nil
+	}
+	adopt := s.machinesToAdoptLocked(mine, orphans)
+	gained := s.gainedJobsLocked(&epoch)
+	if s.loaded && epoch.Token == s.epoch.Token && len(adopt) == 0 && len(gained) == 0 && s.adopted == epoch.Token {
+		return
+	}
+	s.building = true
+	s.goDo(func(ctx context.Context) { s.rebuild(ctx, epoch, condition, gained, adopt) })
+}
+
+// takeTokenLocked takes an epoch in which only the fencing token has risen.
+func (s *Scheduler) takeTokenLocked(epoch cluster.Epoch, condition wire.Condition) {
+	if s.adopted == s.epoch.Token {
+		s.adopted = epoch.Token
 	}
-	var adopt []string // machines that are ours, of whose tasks only the records tell
-	for name, o := range mine {
+	s.epoch.Epoch, s.epoch.condition, s.epoch.raisedAt = epoch, condition, time.Now()
+}
+
+// machinesToAdoptLocked returns the machines, of the scheduler's and of those without
+// an owner, of whose tasks only the records tell. Those that were handed over to it
+// idle are taken at once.
+func (s *Scheduler) machinesToAdoptLocked(mine map[string]cluster.Owner, orphans []string) (adopt []string) {
+	for name, owner := range mine {
 		switch {
 		case s.machines[name] != nil || s.moving[name] || s.inventory.IsReleased(name):
-		case o.Machine == nil || !s.loaded || o.Version <= s.begun:
+		case owner.Machine == nil || !s.loaded || owner.Version <= s.begun:
 			adopt = append(adopt, name) // it may have had tasks since that was written
 		default:
-			s.takeHandedOverLocked(name, o)
+			s.takeHandedOverLocked(name, owner)
 		}
 	}
-	if epoch.Leader == s.opts.Node {
-		for _, name := range orphans {
-			if s.machines[name] == nil && !s.moving[name] && !s.inventory.IsReleased(name) {
-				adopt = append(adopt, name)
-			}
+	for _, name := range orphans {
+		if s.machines[name] == nil && !s.moving[name] && !s.inventory.IsReleased(name) {
+			adopt = append(adopt, name)
 		}
 	}
-	var gained []*job.Record
+	return adopt
+}
+
+// gainedJobsLocked returns the active jobs that are the scheduler's by an epoch and not
+// yet in its queue. Those that surely have no tasks yet are queued at once.
+func (s *Scheduler) gainedJobsLocked(epoch *cluster.Epoch) (gained []*job.Record) {
 	for _, r := range s.opts.Jobs.AllActive() {
 		switch {
 		case epoch.OwnerOf(r.Job.Team, r.Job.ID) != s.opts.Node || s.jobs[r.Job.ID] != nil:
@@ -81,18 +104,14 @@
 			gained = append(gained, r)
 		}
 	}
-	if s.loaded && epoch.Token == s.epoch.Token && len(adopt) == 0 && len(gained) == 0 && s.adopted == epoch.Token {
-		return
-	}
-	s.building = true
-	s.goDo(func(ctx context.Context) { s.rebuild(ctx, epoch, condition, gained, adopt) })
+	return gained
 }
 
-// acceptedInEpochLocked tells whether a job of the scheduler was accepted under
-// the epoch that it acts under: nobody else can have placed tasks of it, so the
-// records need not be read for it.
+// acceptedInEpochLocked tells whether one of the scheduler's jobs was accepted under the
+// shard assignment that it goes by: nobody else can have placed tasks of it, so
+// the records need not be read for it.
 func (s *Scheduler) acceptedInEpochLocked(r *job.Record) bool {
-	return s.loaded && r.Version > s.epoch.since.Version
+	return s.loaded && r.Version > s.epoch.assigned.Version
 }
 
 // beginsToLeadLocked tells whether this controller leads the epoch, and did not
@@ -106,14 +125,14 @@
 		s.ledSince = time.Now()
 	}
 	if !s.loaded || !sameAssignment(&epoch, &s.epoch.Epoch) {
-		s.epoch.since, s.epoch.from = condition, epoch.Token
+		s.epoch.assigned, s.epoch.assignedToken = condition, epoch.Token
 	}
-	s.epoch.Epoch, s.epoch.condition, s.epoch.at = epoch, condition, time.Now()
+	s.epoch.Epoch, s.epoch.condition, s.epoch.raisedAt = epoch, condition, time.Now()
 }
 
-// disownLocked lets go of jobs that now belong to others. Their tasks on the
-// scheduler's machines are hosted from now on; what is not recorded yet never
-// starts.
+// disownLocked lets go of jobs that now belong to other schedulers. Their tasks on
+// this one's machines are hosted for those from now on; what is not recorded yet
+// never starts.
 func (s *Scheduler) disownLocked(epoch *cluster.Epoch) {
 	lost := map[string]bool{}
 	for id, queued := range s.jobs {
@@ -145,10 +164,10 @@
 }
 
 // dropStaleHostedLocked removes hosted attempts that were not recorded under the
-// epoch in which their owner asked: it finds that they are not here.
+// shard assignment in which their owner asked: it finds that they are not here.
 func (s *Scheduler) dropStaleHostedLocked(m *machine) {
 	for _, a := range m.Attempts.All() {
-		if a.Guest && !a.Durable && a.Epoch < s.epoch.from {
+		if a.Guest && !a.Durable && a.Epoch < s.epoch.assignedToken {
 			m.Attempts.Delete(a.Key)
 		}
 	}
@@ -166,23 +185,24 @@
 }
 
 // joinLocked decides about a worker whose machine this scheduler does not have:
-// one just given to it, or one that nobody owns. coming tells that its machine
+// one just handed over to it, or one that nobody owns. adopting tells that its machine
 // is this scheduler's and will be taken once the records are read.
-func (s *Scheduler) joinLocked(r *wire.Heartbeat, now time.Time) (m *machine, coming bool) {
-	if s.isReleasedLocked(r.Machine) {
+func (s *Scheduler) joinLocked(heartbeat *wire.Heartbeat, now time.Time) (m *machine, adopting bool) {
+	name := heartbeat.Machine
+	if s.isReleasedLocked(name) {
 		return nil, false // sent before its machine was returned
 	}
-	node, owned := s.opts.Authority.HeartbeatTarget(r.Machine)
-	if node != s.opts.Node || s.moving[r.Machine] {
+	node, owned := s.opts.Authority.HeartbeatTarget(name)
+	if node != s.opts.Node || s.moving[name] {
 		return nil, false
 	}
-	_, named := s.opts.Authority.OwnerOf(r.Machine)
+	_, named := s.opts.Authority.OwnerOf(name)
 	if owned || named || !s.opts.Authority.Fresh() || !s.loaded || s.adopted != s.opts.Authority.Token() {
-		// Given a moment ago, or perhaps one with tasks whose owner has gone.
+		// Handed over a moment ago, or perhaps one with tasks whose owner has gone.
 		s.recheckEpoch()
 		return nil, true
 	}
 	// A machine that the records do not name never had anything placed on it.
-	s.log.Info("machine joins", "machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "session", r.Incarnation)
-	return s.addMachineLocked(fleet.NewMachine(r.Machine), now), false
+	s.log.Info("machine joins", "machine", name, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot, "incarnation", heartbeat.Incarnation)
+	return s.addMachineLocked(fleet.NewMachine(name), now), false
 }
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -146,7 +146,7 @@
 // from being handed over or returned.
 func (s *Scheduler) keptByLeftoversLocked(m *machine, now time.Time) bool {
 	return m.ActiveCount() == 0 && m.Attempts.Len() > 0 &&
-		now.Sub(s.epoch.at) > leftoversAfter && now.Sub(m.idleSince) > leftoversIdleAfter
+		now.Sub(s.epoch.raisedAt) > leftoversAfter && now.Sub(m.idleSince) > leftoversIdleAfter
 }
 
 // raiseLocked raises the fencing token, now and then.
--- /dev/null
+++ b/internal/scheduler/heartbeats.go
@@ -0,0 +1,178 @@
+package scheduler
+
+import (
+	"slices"
+	"time"
+
+	"heronwick/internal/fleet"
+	"heronwick/wire"
+)
+
+// HandleHeartbeat takes a worker's heartbeat. It returns nil if this scheduler has no
+// right to answer it.
+func (s *Scheduler) HandleHeartbeat(heartbeat *wire.Heartbeat) *wire.HeartbeatReply {
+	now := time.Now()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	token, permitted := s.opts.Authority.FencingToken()
+	if !permitted {
+		return nil
+	}
+	if node, owned := s.opts.Authority.HeartbeatTarget(heartbeat.Machine); owned && node != s.opts.Node {
+		return nil // handed over since, whatever this scheduler has not followed yet
+	}
+	m, adopting := s.machines[heartbeat.Machine], false
+	if m == nil {
+		m, adopting = s.joinLocked(heartbeat, now)
+	}
+	reply := &wire.HeartbeatReply{FencingToken: token, Commands: []wire.Command{}}
+	if m == nil {
+		if !adopting || s.unknownTasksTooLongLocked(heartbeat, now) {
+			// Answering a machine that is another's would renew a lease that
+			// its owner counts as expired.
+			return nil
+		}
+		s.answeredEarly[heartbeat.Machine] = now
+		reply.Commands = s.stopEndedJobsLocked(heartbeat)
+		return reply // keeps its lease while its machine is being taken
+	}
+	fresh := s.applyLocked(m, heartbeat)
+	if s.unknownTasksTooLongLocked(heartbeat, now) {
+		return nil
+	}
+	m.LastReply = now
+	m.NoteUnsolicited(heartbeat, fresh, now)
+	if !fresh {
+		// Late or repeated: its reply will be dropped, and must not carry
+		// commands meant for the worker as it is now. Or the worker has
+		// started anew and counts from the beginning: asking it tells.
+		if !m.ProbedLately(now) {
+			s.probeLocked(m, now)
+		}
+		return reply
+	}
+	reply.Commands = append(reply.Commands, m.Reply()...)
+	return reply
+}
+
+// unknownTasksGrace is how long a worker is answered though it has tasks of jobs of
+// which nothing is known.
+func (s *Scheduler) unknownTasksGrace() time.Duration { return s.opts.Settings.LeaseFor / 4 }
+
+// unknownTasksTooLongLocked notes whether a worker has tasks of unknown jobs, and tells
+// whether it has had some for so long that its lease must expire. Such a job may be
+// over: cancelled before this controller read the jobs, while the key-value store,
+// which would tell, is out for longer than the tasks may stay.
+func (s *Scheduler) unknownTasksTooLongLocked(heartbeat *wire.Heartbeat, now time.Time) bool {
+	unknown := s.hasUnknownTasksLocked(heartbeat)
+	since, noted := s.unknownTasksSince[heartbeat.Machine]
+	switch {
+	case !unknown && noted:
+		delete(s.unknownTasksSince, heartbeat.Machine)
+	case unknown && !noted:
+		s.unknownTasksSince[heartbeat.Machine] = now
+	case unknown:
+		return now.Sub(since) > s.unknownTasksGrace()
+	}
+	return false
+}
+
+// hasUnknownTasksLocked tells whether a heartbeat shows tasks, not yet being stopped,
+// of jobs that are neither active nor known to be over.
+func (s *Scheduler) hasUnknownTasksLocked(heartbeat *wire.Heartbeat) bool {
+	m := s.machines[heartbeat.Machine]
+	return slices.ContainsFunc(heartbeat.Tasks, func(t wire.TaskStatus) bool {
+		id, _, ok := wire.SplitTaskID(t.Task)
+		if !ok || t.State == wire.TaskExited || s.jobOf(id) != nil {
+			return false
+		}
+		if m != nil {
+			if a := m.Attempts.Get(fleet.Key{Task: t.Task, Attempt: t.Attempt}); a != nil && a.Stop {
+				return false
+			}
+		}
+		return s.opts.Jobs.Active(id) == nil && !s.opts.Jobs.Ended(id)
+	})
+}
+
+// stopEndedJobsLocked stops, of the tasks that a heartbeat shows, those whose jobs
+// are over: their machine's records may not be readable for long.
+func (s *Scheduler) stopEndedJobsLocked(heartbeat *wire.Heartbeat) []wire.Command {
+	stops := []wire.Command{}
+	for _, t := range heartbeat.Tasks {
+		id, _, ok := wire.SplitTaskID(t.Task)
+		if ok && t.State != wire.TaskExited && s.opts.Jobs.Ended(id) && len(stops) < wire.MaxCommands {
+			grace := 0.0
+			stops = append(stops, wire.Command{Op: wire.OpStop, Task: t.Task, Attempt: t.Attempt, GraceS: &grace})
+		}
+	}
+	return stops
+}
+
+// applyLocked takes a heartbeat, also one that answers a probe or a direct command.
+// It tells whether that was news.
+func (s *Scheduler) applyLocked(m *machine, heartbeat *wire.Heartbeat) bool {
+	if s.machines[m.Name] != m || heartbeat.Machine != m.Name {
+		return false
+	}
+	now := time.Now()
+	events, fresh := m.ApplyHeartbeat(heartbeat, now)
+	if !fresh {
+		return false
+	}
+	m.NoteAlive()
+	if m.Type == nil {
+		m.Type = s.types[m.TypeName]
+	}
+	s.handleLocked(m, events)
+	if len(events) > 0 {
+		s.poke()
+	}
+	if s.wantsDirectLocked(m) {
+		s.sendLocked(m)
+	}
+	return true
+}
+
+// handleLocked draws the consequences of what a heartbeat or a proof told.
+func (s *Scheduler) handleLocked(m *machine, events []fleet.Event) {
+	for _, e := range events {
+		a := e.Attempt
+		switch e.Kind {
+		case fleet.Found:
+			s.adoptAttemptLocked(m, a)
+			if a.Exited() {
+				s.attemptExitedLocked(m, a)
+			}
+		case fleet.Started:
+			s.log.Debug("started", "task", a.Task, "machine", m.Name, "after", time.Since(a.Placed))
+			if queued := s.jobOf(a.Job); queued != nil && a.Service {
+				queued.Succeeded = true
+			}
+		case fleet.Exited:
+			s.attemptExitedLocked(m, a)
+		case fleet.Lost:
+			log := s.log.Info
+			if a.Restored {
+				log = s.log.Debug // most of those had ended before the takeover
+			}
+			log("task lost", "task", a.Task, "attempt", a.Attempt, "machine", m.Name)
+			s.uncountAttemptLocked(a)
+		}
+	}
+	s.closeIfEmptyLocked(m)
+}
+
+// closeIfEmptyLocked takes a machine whose last task has ended off the list.
+func (s *Scheduler) closeIfEmptyLocked(m *machine) {
+	if m.ActiveCount() > 0 {
+		if !s.list.Has(m) {
+			s.list.Append(m)
+		}
+		return
+	}
+	if s.list.Has(m) {
+		s.list.Close(m)
+		m.idleSince = time.Now()
+	}
+}
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -147,7 +147,7 @@
 // that are adopted, and on others' as far as own jobs are concerned. It
 // returns how many machines were adopted.
 func (s *Scheduler) placeRecordsLocked(records recovery.Records, adopt []string, gained map[string]bool, now time.Time) int {
-	s.adoptGuestsLocked(gained)
+	s.adoptHostedLocked(gained)
 	adopting := &adoption{outcomes: records.Outcomes, gained: gained, machines: map[string]*adoptedMachine{}, now: now}
 	for _, stored := range records.Buckets {
 		taken := s.takeBucketLocked(stored)
@@ -166,9 +166,9 @@
 	return len(adopting.machines)
 }
 
-// adoptGuestsLocked makes own attempts of the guests on the scheduler's machines
+// adoptHostedLocked makes own attempts of those that the scheduler's machines host and
 // whose jobs it has gained.
-func (s *Scheduler) adoptGuestsLocked(gained map[string]bool) {
+func (s *Scheduler) adoptHostedLocked(gained map[string]bool) {
 	for _, m := range s.machines {
 		for _, a := range m.Attempts.All() {
 			if !gained[a.Job] {
@@ -222,7 +222,7 @@
 // takeBucketLocked takes over a bucket whose owner's membership is over: the leader
 // does, as it does with the machines. It returns nil for another's bucket, and
 // for one that is this scheduler's already: what that says of a machine that is
-// only now taken is from before the machine was given away, idle.
+// only now taken is from before the machine was handed over, idle.
 func (s *Scheduler) takeBucketLocked(rp recovery.Bucket) *bucket {
 	if s.records.buckets[rp.Key] != nil {
 		return nil
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -136,7 +136,7 @@
 	cooling      time.Time // no placements before then
 	reservations []reservation
 
-	base  uint64 // reports under older tokens do not settle its record
+	base  uint64 // heartbeats under older tokens do not settle its record
 	fence uint64 // nobody else answers its worker once epochs before this are fenced; 0: nobody does
 }
 
@@ -161,7 +161,7 @@
 	adopted           uint64 // under this epoch, machines without an owner have been taken
 	building          bool
 	begun             uint64                // version of the epoch when the scheduler began
-	answeredEarly     map[string]time.Time  // reports answered before the records were read
+	answeredEarly     map[string]time.Time  // heartbeats answered before the records were read
 	unknownTasksSince map[string]time.Time  // since when machines have had tasks of unknown jobs
 	jobs              map[string]*queue.Job // the scheduler's own
 	hostedJobs        map[string]*queue.Job // jobs of other controllers that have, or want, tasks here
@@ -175,12 +175,9 @@
 	consolidating     int       // buckets that are written only to gather what several hold
 	valueLimit        *checkpoint.ValueLimit
 	moving            map[string]bool // machines whose owner is being written
-	unsynced          []*machine      // whose workers are to be shown the token
-	syncing           int             // that are being shown it
-	syncRate          *rate.Limiter
+	takeover          takeover
 	probeRate         *rate.Limiter
 	detector          *detector.Detector
-	syncWaits         bool // for that
 	list              placement.List[*machine]
 	pass              schedulingPass
 	numbers           attemptNumbers
@@ -226,7 +223,7 @@
 	s.detector = detector.New(detector.Settings{HeartbeatInterval: opts.Settings.ReportEvery, LeaseDuration: opts.Settings.LeaseFor,
 		CommandTimeout: commandTimeout, Latency: opts.Latency})
 	s.completions = completion.NewTable(completionScheduler{s}, opts.Settings, s.log)
-	s.syncRate, s.probeRate = syncRate(opts.Settings.CoreShare), probeRate(opts.Settings.CoreShare)
+	s.takeover.rate, s.probeRate = tokenRequestRate(opts.Settings.CoreShare), probeRate(opts.Settings.CoreShare)
 	for i := range opts.Types {
 		s.types[opts.Types[i].Name] = &opts.Types[i]
 	}
@@ -354,7 +351,7 @@
 
 // passEvery is how long a pass waits after the one before, or twice as long as
 // that took. What comes meanwhile is served together: under load a pass for
-// each report would take more than the share of a processor.
+// each heartbeat would take more than this controller's part of a processor.
 const passEvery = 10 * time.Millisecond
 
 // Changed tells the scheduler that the epoch or a machine's owner has changed.
--- a/internal/scheduler/takeover.go
+++ b/internal/scheduler/takeover.go
@@ -10,24 +10,41 @@
 	"heronwick/wire"
 )
 
-// maxSyncs is how many workers are shown a new token at a time. A takeover of
-// thousands at once would use up sockets and the share of a processor, and most
-// report by themselves before their turn comes. Those of a zone that is cut off
-// must not keep all others waiting.
-const maxSyncs = 512
+const (
+	// maxTokenRequests is how many workers are shown a new token at a time. A takeover
+	// of thousands at once would use up sockets and this controller's part of a
+	// processor, and most send a heartbeat by themselves before their turn comes. Those
+	// of a zone that is partitioned off must not keep all others waiting.
+	maxTokenRequests = 512
+	// tokenRequestsPerCore is how many workers a second may be shown a new token for
+	// each core that this controller has: about half of its time, the rest is for the
+	// heartbeats that come by themselves.
+	tokenRequestsPerCore = 4000
+	// tokenRequestPause is how long showing the token waits where it went too fast.
+	tokenRequestPause = 50 * time.Millisecond
+)
+
+// takeover is the part of a takeover that follows the rebuild: the workers of the
+// machines that were taken are shown the scheduler's fencing token.
+type takeover struct {
+	unsynced []*machine    // whose workers are still to be shown the token
+	requests int           // that are under way
+	rate     *rate.Limiter // of requests
+	paused   bool          // until the rate allows the next
+}
 
-// syncsPerCore is how many workers a second may be shown a new token for each
-// core that this controller has: about half of its time, the rest is for the
-// reports of those that come by themselves.
-const syncsPerCore = 4000
+func tokenRequestRate(coreShare float64) *rate.Limiter {
+	perSecond := tokenRequestsPerCore * coreShare
+	return limiter(perSecond, max(1, min(maxTokenRequests, int(perSecond/4))))
+}
 
-// syncLocked shows a worker the new token soon and takes its report: until then
+// syncLocked shows a worker the new token soon and takes its heartbeat: until then
 // nothing may be placed on its machine.
 func (s *Scheduler) syncLocked(m *machine) {
 	if m.mustStop() {
-		s.unsynced = slices.Insert(s.unsynced, 0, m)
+		s.takeover.unsynced = slices.Insert(s.takeover.unsynced, 0, m)
 	} else {
-		s.unsynced = append(s.unsynced, m)
+		s.takeover.unsynced = append(s.takeover.unsynced, m)
 	}
 	s.syncNextLocked()
 }
@@ -43,54 +60,58 @@
 	return false
 }
 
-// syncNextLocked goes on with the workers that still have not reported.
+// syncNextLocked goes on with the workers that still have not sent a heartbeat.
 func (s *Scheduler) syncNextLocked() {
-	for s.syncing < maxSyncs && len(s.unsynced) > 0 {
-		m := s.unsynced[0]
+	t := &s.takeover
+	for t.requests < maxTokenRequests && len(t.unsynced) > 0 {
+		m := t.unsynced[0]
 		if m.Address == "" || m.RequestPending() || s.machines[m.Name] != m || s.synced(m) {
-			s.unsynced = s.unsynced[1:]
+			t.unsynced = t.unsynced[1:]
 			continue
 		}
-		if !m.mustStop() && !s.syncRate.Allow() {
-			if !s.syncWaits {
-				s.syncWaits = true
-				time.AfterFunc(syncPause, s.syncAgain)
+		if !m.mustStop() && !t.rate.Allow() {
+			if !t.paused {
+				t.paused = true
+				time.AfterFunc(tokenRequestPause, s.resumeSync)
 			}
 			return
 		}
-		s.unsynced = s.unsynced[1:]
-		m.BeginRequest()
-		s.syncing++
-		address := m.Address
-		req := &wire.CommandRequest{FencingToken: s.opts.Authority.Token(), Incarnation: m.Incarnation, Commands: []wire.Command{}}
-		s.goDo(func(ctx context.Context) {
-			report, err := s.command(ctx, address, req)
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			m.EndRequest()
-			s.syncing--
-			if s.answeredLocked(m, err) {
-				s.applyLocked(m, report)
-			}
-			if ctx.Err() == nil {
-				s.syncNextLocked()
-			}
-		})
+		t.unsynced = t.unsynced[1:]
+		s.showTokenLocked(m)
 	}
 }
 
-func syncRate(coreShare float64) *rate.Limiter {
-	perSecond := syncsPerCore * coreShare
-	return limiter(perSecond, max(1, min(maxSyncs, int(perSecond/4))))
-}
-
-// syncPause is how long showing the token waits where it went too fast.
-const syncPause = 50 * time.Millisecond
-
-func (s *Scheduler) syncAgain() {
+// resumeSync goes on after a pause.
+func (s *Scheduler) resumeSync() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.syncWaits = false; s.ctx.Err() == nil {
+	if s.takeover.paused = false; s.ctx.Err() == nil {
 		s.syncNextLocked()
 	}
 }
+
+// showTokenLocked sends a worker the token, without any command, and takes the
+// heartbeat with which it answers.
+func (s *Scheduler) showTokenLocked(m *machine) {
+	m.BeginRequest()
+	s.takeover.requests++
+	address := m.Address
+	req := &wire.CommandRequest{FencingToken: s.opts.Authority.Token(), Incarnation: m.Incarnation, Commands: []wire.Command{}}
+	s.goDo(func(ctx context.Context) {
+		heartbeat, err := s.command(ctx, address, req)
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		m.EndRequest()
+		s.takeover.requests--
+		if s.answeredLocked(m, err) {
+			s.applyLocked(m, heartbeat)
+		}
+		if ctx.Err() == nil {
+			s.syncNextLocked()
+		}
+	})
+}
+
+// synced tells whether the worker's heartbeat under its owner's token has come:
+// then the machine's record is settled.
+func (s *Scheduler) synced(m *machine) bool { return m.HeartbeatSeen && m.FencingToken >= m.base }
