--- a/internal/completion/flush.go
+++ b/internal/completion/flush.go
@@ -7,6 +7,7 @@
 	"sync"
 	"time"
 
+	"heronwick/internal/duty"
 	"heronwick/internal/fleet"
 	"heronwick/internal/job"
 	"heronwick/internal/state"
@@ -28,9 +29,9 @@
 	WriteMark() string
 	// Fence makes a write depend on the epoch that the scheduler acts under.
 	Fence(write state.Write) state.Write
-	// GuardCleanup makes a write depend on the right to remove the scheduler's
-	// records. It returns an error while the scheduler does not have it.
-	GuardCleanup(write state.Write) (state.Write, error)
+	// CleanupGuard returns the right to remove the scheduler's records, an error if
+	// another controller has it or nobody.
+	CleanupGuard() (duty.Guard, error)
 	// Commit writes key to the store and returns its version; known tells
 	// whether that is certain, also after an error.
 	Commit(ctx context.Context, key string, write state.Write) (version uint64, known bool, err error)
@@ -125,13 +126,13 @@
 	b := w.bucket
 	write := state.Write{Priority: flushPriority, Persist: true, If: []wire.Condition{{Key: b.key, Version: b.version}}}
 	if b.empty() {
-		write.Then = []wire.Change{{Delete: b.key}}
-		guarded, err := t.scheduler.GuardCleanup(write)
+		guard, err := t.scheduler.CleanupGuard()
 		if err != nil {
 			t.buckets[b.key] = b // removed later
 			return
 		}
-		write = guarded
+		write.Then = []wire.Change{{Delete: b.key}}
+		write = guard.Bind(write)
 	} else {
 		write.Then = []wire.Change{{Put: b.key, Value: t.encode(b)}}
 	}
--- a/internal/scheduler/done.go
+++ b/internal/scheduler/done.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"heronwick/internal/completion"
+	"heronwick/internal/duty"
 	"heronwick/internal/job"
 	"heronwick/internal/queue"
 	"heronwick/internal/state"
@@ -39,14 +40,8 @@
 // Fence implements completion.Scheduler.
 func (s completionScheduler) Fence(write state.Write) state.Write { return s.fenceLocked().Bind(write) }
 
-// GuardCleanup implements completion.Scheduler.
-func (s completionScheduler) GuardCleanup(write state.Write) (state.Write, error) {
-	guard, err := s.cleanupGuard()
-	if err != nil {
-		return state.Write{}, err
-	}
-	return guard.Bind(write), nil
-}
+// CleanupGuard implements completion.Scheduler.
+func (s completionScheduler) CleanupGuard() (duty.Guard, error) { return s.cleanupGuard() }
 
 // Commit implements completion.Scheduler.
 func (s completionScheduler) Commit(ctx context.Context, key string, write state.Write) (version uint64, known bool, err error) {
