--- a/internal/checkpoint/limit.go
+++ b/internal/checkpoint/limit.go
@@ -63,5 +63,5 @@
 	return max(leastAttempts, (limit-limit/imagesPart-longestRecord)/longestAttempt)
 }
 
-// ImageBytes is how many bytes of a value the images of one machine may take.
-func (l *ValueLimit) ImageBytes() int { return l.Bytes() / imagesPart }
+// imageBytes is how many bytes of a value the images of one machine may take.
+func (l *ValueLimit) imageBytes() int { return l.Bytes() / imagesPart }
--- /dev/null
+++ b/internal/checkpoint/writer_test.go
@@ -0,0 +1,235 @@
+package checkpoint
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"iter"
+	"log/slog"
+	"maps"
+	"slices"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"heronwick/internal/config"
+	"heronwick/internal/duty"
+	"heronwick/internal/fleet"
+	"heronwick/internal/job"
+	"heronwick/internal/state"
+	"heronwick/wire"
+)
+
+// Limits that the store has announced.
+const (
+	lowValueBytes = 2 << 10
+	lowTxnOps     = 5
+)
+
+// testStore takes what a Writer writes.
+type testStore struct {
+	mu     sync.Mutex
+	writes []state.Write
+	refuse error // what writes fail with
+}
+
+func (s *testStore) Commit(_ context.Context, w state.Write) (uint64, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.refuse != nil {
+		return 0, s.refuse
+	}
+	s.writes = append(s.writes, w)
+	return 1, nil
+}
+
+func (s *testStore) Get(context.Context, state.Priority, string) (wire.Item, error) {
+	return wire.Item{}, state.ErrNotFound
+}
+
+// testScheduler stands for the scheduler.
+type testScheduler struct {
+	machines map[string]*Machine
+	jobs     map[string]*job.Record
+	marks    int
+}
+
+func (s *testScheduler) Machines() iter.Seq[*Machine] { return maps.Values(s.machines) }
+func (s *testScheduler) MachineCount() int            { return len(s.machines) }
+func (s *testScheduler) Owns(m *Machine) bool         { return s.machines[m.Name] == m }
+func (s *testScheduler) Returning(*Machine) bool      { return false }
+func (s *testScheduler) MemberSince() uint64          { return 3 }
+func (s *testScheduler) Fence() state.FencingCondition {
+	return state.FencingCondition{Condition: wire.Condition{Key: "epoch", Version: 5}, Current: func() bool { return true }}
+}
+func (s *testScheduler) WriteMark() string {
+	s.marks++
+	return fmt.Sprint("me-5-", s.marks)
+}
+func (s *testScheduler) CleanupGuard() (duty.Guard, error) {
+	return duty.Unguarded(nil, slog.New(slog.DiscardHandler)).Guard(duty.ID{Name: duty.Cleanup, Scope: duty.Share("me")})
+}
+func (s *testScheduler) Job(id string) *job.Record             { return s.jobs[id] }
+func (s *testScheduler) DropStaleGuests(*Machine)              {}
+func (s *testScheduler) Recorded(*Machine)                     {}
+func (s *testScheduler) DropUnsent(string, iter.Seq[*Machine]) {}
+
+// testWriter is a Writer under low limits, with its lock and all around it.
+type testWriter struct {
+	*Writer
+	t         *testing.T
+	lock      sync.Mutex
+	scheduler *testScheduler
+	store     *testStore
+	stored    map[string]json.RawMessage // what the writes taken have left
+}
+
+func newTestWriter(t *testing.T) *testWriter {
+	w := &testWriter{t: t, store: &testStore{}, stored: map[string]json.RawMessage{},
+		scheduler: &testScheduler{machines: map[string]*Machine{}, jobs: map[string]*job.Record{}}}
+	settings := &config.Settings{ValueBytes: lowValueBytes, TxnOps: lowTxnOps}
+	log := slog.New(slog.DiscardHandler)
+	w.Writer = NewWriter(Options{
+		Node: "me", Settings: settings, Limit: NewValueLimit(settings, log), Scheduler: w.scheduler, Lock: &w.lock,
+		Committer: w.store, Reader: w.store, Go: func(f func(context.Context)) { go f(context.Background()) }, Wake: func() {}, Log: log,
+	})
+	return w
+}
+
+// commitPending tidies and records what is pending.
+func (w *testWriter) commitPending() {
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	w.Tidy(time.Now())
+	w.Commit(slices.DeleteFunc(slices.Collect(w.scheduler.Machines()), func(m *Machine) bool { return !m.Pending() }))
+}
+
+// take carries out what was written, one write after the other, and calls check
+// after each.
+func (w *testWriter) take(check func()) {
+	w.t.Helper()
+	synctest.Wait()
+	w.store.mu.Lock()
+	writes := w.store.writes
+	w.store.writes = nil
+	w.store.mu.Unlock()
+	for _, write := range writes {
+		if len(write.Then) > lowTxnOps || len(write.If) > 4*lowTxnOps {
+			w.t.Errorf("a write of %d changes and %d conditions", len(write.Then), len(write.If))
+		}
+		for _, change := range write.Then {
+			if len(change.Value) > lowValueBytes {
+				w.t.Errorf("a value of %d bytes under %s", len(change.Value), change.Put)
+			}
+			delete(w.stored, change.Delete)
+			if change.Put != "" {
+				w.stored[change.Put] = change.Value
+			}
+		}
+		check()
+	}
+}
+
+// A bucket that is larger than values may be now is split in writes of their own, and
+// removed or rewritten once they are done: in between the store always names all
+// that may be on the machines.
+func TestLargeBucketIsSplit(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		w := newTestWriter(t)
+		const key, machines = "machines/old/1/1", 60
+		w.scheduler.jobs["wk-1"] = &job.Record{Job: wire.Job{ID: "wk-1"}, Version: 1}
+		large := fleet.RecordBucket{Machines: map[string]fleet.Record{}}
+		attempts := map[string]uint64{}
+		for i := range machines {
+			task := wire.TaskID("wk-1", i)
+			r := fleet.Record{Address: "10.1.0.1:9000", Type: "m", Zone: "z", Incarnation: 1, Attempts: map[string]uint64{task: uint64(100 + i)}}
+			for image := range 60 {
+				r.Images = append(r.Images, fleet.ImageRecord{Name: fmt.Sprint("a/long/name/of/an/image/", image), GB: 1})
+			}
+			attempts[task] = uint64(100 + i)
+			large.Machines[fmt.Sprintf("host-%06d", i)] = r
+		}
+		value, err := json.Marshal(large)
+		if err != nil {
+			t.Fatal(err)
+		}
+		w.stored[key] = value
+		bucket := w.AdoptBucket(key, 3, len(value))
+		for name, r := range large.Machines {
+			m := &Machine{Machine: fleet.FromRecord(name, r, 5, time.Now()), due: true}
+			w.scheduler.machines[name] = m
+			w.AdoptMachine(m, []*Bucket{bucket})
+		}
+		check := func() {
+			found := map[string]uint64{}
+			for key, value := range w.stored {
+				bucket, err := fleet.ReadBucket(key, value)
+				if err != nil {
+					t.Fatal(err)
+				}
+				for _, r := range bucket.Machines {
+					maps.Copy(found, r.Attempts)
+				}
+			}
+			if !maps.Equal(found, attempts) {
+				t.Fatalf("the store names %d of %d attempts", len(found), len(attempts))
+			}
+		}
+		for range 4 {
+			w.commitPending()
+			w.take(check)
+		}
+		if len(w.stored[key]) > lowValueBytes || len(w.stored) < machines/8 {
+			t.Errorf("%d keys, the large bucket has %d bytes", len(w.stored), len(w.stored[key]))
+		}
+	})
+}
+
+// Full journals are emptied also while buckets are written that only gather what is
+// recorded already: those wait behind all else, and placements waited for them.
+func TestConsolidationDelaysNoFullJournals(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		w := newTestWriter(t)
+		m := newTestMachine(1)
+		w.scheduler.machines[m.Name] = m
+		former := &Bucket{key: "machines/old/1/1", version: 1, machines: map[string]*Machine{}, leftover: map[string]fleet.Record{"m1": {Incarnation: 1}}}
+		w.buckets[former.key] = former
+		w.scatter(m, former)
+		w.lock.Lock()
+		w.consolidate()
+		checkpointing := w.checkpointing()
+		writing := m.Writing()
+		w.lock.Unlock()
+		if !writing || checkpointing {
+			t.Errorf("the bucket is being written: %v; journals wait for it: %v", writing, checkpointing)
+		}
+		synctest.Wait()
+	})
+}
+
+// A bucket that holds nothing any more and could not be removed, since the epoch changed
+// meanwhile, is removed later: it stayed in the store for ever.
+func TestRemovalOfABucketIsRetried(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		w := newTestWriter(t)
+		left := &Bucket{key: "machines/former/1/1", version: 3, machines: map[string]*Machine{}, untidy: true}
+		w.buckets[left.key] = left
+		w.store.refuse = &state.Conflict{}
+		w.lock.Lock()
+		w.Tidy(time.Now())
+		w.lock.Unlock()
+		synctest.Wait()
+		w.store.refuse = nil
+		w.lock.Lock()
+		w.Tidy(time.Now())
+		w.lock.Unlock()
+		synctest.Wait()
+		if len(w.store.writes) != 1 || w.store.writes[0].Then[0].Delete != left.key {
+			t.Errorf("the bucket was not removed: %v", w.store.writes)
+		}
+		if w.buckets[left.key] != nil {
+			t.Error("the bucket is still among those in the store")
+		}
+	})
+}
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -116,7 +116,7 @@
 	}
 	var idle []*machine
 	for _, m := range s.machines {
-		if m.returning || m.ActiveCount() > 0 || m.Attempts.Len() > 0 || m.dirty || m.writing() || !s.synced(m) {
+		if m.returning || m.ActiveCount() > 0 || m.Attempts.Len() > 0 || m.record.Dirty || m.record.Writing() || !s.synced(m) {
 			continue
 		}
 		idle = append(idle, m)
--- /dev/null
+++ b/internal/scheduler/checkpoints.go
@@ -0,0 +1,141 @@
+package scheduler
+
+import (
+	"fmt"
+	"iter"
+	"time"
+
+	"heronwick/internal/checkpoint"
+	"heronwick/internal/duty"
+	"heronwick/internal/job"
+	"heronwick/internal/state"
+)
+
+// newCheckpointWriter returns the Writer that records what may be on the scheduler's
+// machines, under the scheduler's lock.
+func (s *Scheduler) newCheckpointWriter() *checkpoint.Writer {
+	return checkpoint.NewWriter(checkpoint.Options{
+		Node: s.opts.Node, Settings: s.opts.Settings, Limit: s.valueLimit,
+		Scheduler: checkpointScheduler{s}, Lock: &s.mu,
+		Committer: s.opts.Committer, Reader: s.opts.Records,
+		Go: s.goDo, Wake: s.poke, Log: s.log,
+	})
+}
+
+// commitLocked records new placements.
+func (s *Scheduler) commitLocked() {
+	if !s.currentLocked() {
+		return // would only fail, and failures cost writes too
+	}
+	var pending []*checkpoint.Machine
+	for _, m := range s.machines {
+		if !m.returning && m.record.Pending() {
+			pending = append(pending, &m.record)
+		}
+	}
+	s.checkpoints.Commit(pending)
+}
+
+// tidyEvery is how often buckets are tidied: nobody waits for it.
+const tidyEvery = 10 * time.Second
+
+// tidyLocked removes from the store what it holds of machines that are no longer here.
+func (s *Scheduler) tidyLocked(now time.Time) {
+	if s.loaded && s.currentLocked() {
+		s.checkpoints.Tidy(now)
+	}
+}
+
+// writeMarkLocked returns what no other write bears.
+func (s *Scheduler) writeMarkLocked() string {
+	s.serial++ // any number that never comes again under this token
+	return fmt.Sprintf("%s-%d-%d", s.opts.Node, s.epoch.Token, s.serial)
+}
+
+// checkpointScheduler is what the Writer of machines' records sees of the scheduler.
+type checkpointScheduler struct{ *Scheduler }
+
+// owned returns the scheduler's machine that m is part of, nil if it is not the
+// scheduler's any more.
+func (s checkpointScheduler) owned(m *checkpoint.Machine) *machine {
+	if owned := s.machines[m.Name]; owned != nil && &owned.record == m {
+		return owned
+	}
+	return nil
+}
+
+// Machines implements checkpoint.Scheduler.
+func (s checkpointScheduler) Machines() iter.Seq[*checkpoint.Machine] {
+	return func(yield func(*checkpoint.Machine) bool) {
+		for _, m := range s.machines {
+			if !yield(&m.record) {
+				return
+			}
+		}
+	}
+}
+
+// MachineCount implements checkpoint.Scheduler.
+func (s checkpointScheduler) MachineCount() int { return len(s.machines) }
+
+// Owns implements checkpoint.Scheduler.
+func (s checkpointScheduler) Owns(m *checkpoint.Machine) bool { return s.owned(m) != nil }
+
+// Returning implements checkpoint.Scheduler.
+func (s checkpointScheduler) Returning(m *checkpoint.Machine) bool {
+	owned := s.owned(m)
+	return owned != nil && owned.returning
+}
+
+// Fence implements checkpoint.Scheduler.
+func (s checkpointScheduler) Fence() state.FencingCondition { return s.fenceLocked() }
+
+// MemberSince implements checkpoint.Scheduler.
+func (s checkpointScheduler) MemberSince() uint64 { return s.epoch.Members[s.opts.Node].Since }
+
+// WriteMark implements checkpoint.Scheduler.
+func (s checkpointScheduler) WriteMark() string { return s.writeMarkLocked() }
+
+// CleanupGuard implements checkpoint.Scheduler.
+func (s checkpointScheduler) CleanupGuard() (duty.Guard, error) { return s.cleanupGuard() }
+
+// Job implements checkpoint.Scheduler.
+func (s checkpointScheduler) Job(id string) *job.Record {
+	if queued := s.jobOf(id); queued != nil {
+		return queued.Record
+	}
+	return nil
+}
+
+// DropStaleGuests implements checkpoint.Scheduler.
+func (s checkpointScheduler) DropStaleGuests(m *checkpoint.Machine) {
+	if owned := s.owned(m); owned != nil {
+		s.dropStaleHostedLocked(owned)
+	}
+}
+
+// Recorded implements checkpoint.Scheduler.
+func (s checkpointScheduler) Recorded(m *checkpoint.Machine) {
+	if owned := s.owned(m); owned != nil {
+		s.sendLocked(owned)
+	}
+}
+
+// DropUnsent implements checkpoint.Scheduler.
+func (s checkpointScheduler) DropUnsent(id string, on iter.Seq[*checkpoint.Machine]) {
+	for m := range on {
+		for _, a := range m.Attempts.All() {
+			if a.Job == id && a.NeverSent() {
+				m.Attempts.Delete(a.Key)
+				s.uncountAttemptLocked(a)
+			}
+		}
+		if owned := s.owned(m); owned != nil {
+			s.closeIfEmptyLocked(owned)
+		}
+	}
+	if queued := s.jobOf(id); queued != nil {
+		queued.NotBefore = time.Now().Add(time.Second)
+	}
+	s.resolveJobLocked(id)
+}
--- a/internal/scheduler/done.go
+++ b/internal/scheduler/done.go
@@ -35,7 +35,7 @@
 func (s completionScheduler) ValueLimit() int { return s.valueLimit.Bytes() }
 
 // WriteMark implements completion.Scheduler.
-func (s completionScheduler) WriteMark() string { return s.markLocked() }
+func (s completionScheduler) WriteMark() string { return s.writeMarkLocked() }
 
 // Fence implements completion.Scheduler.
 func (s completionScheduler) Fence(write state.Write) state.Write { return s.fenceLocked().Bind(write) }
@@ -49,7 +49,7 @@
 	if err == nil {
 		return version, true, nil
 	}
-	version, known = s.reread(ctx, write.Priority, key, err)
+	version, known = state.Reread(ctx, s.opts.Records, write.Priority, key, err)
 	return version, known, err
 }
 
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -8,6 +8,7 @@
 	"heronwick/internal/cluster"
 	"heronwick/internal/fleet"
 	"heronwick/internal/job"
+	"heronwick/internal/state"
 	"heronwick/wire"
 )
 
@@ -163,6 +164,18 @@
 	}
 }
 
+// fenceLocked ties writes to the epoch that the scheduler goes by.
+func (s *Scheduler) fenceLocked() state.FencingCondition {
+	fence := s.epoch.condition
+	return state.FencingCondition{Condition: fence, Current: func() bool {
+		_, condition := s.opts.Authority.CurrentEpoch()
+		return condition == fence
+	}}
+}
+
+// currentLocked tells whether the epoch that the scheduler goes by is current.
+func (s *Scheduler) currentLocked() bool { return s.fenceLocked().Current() }
+
 // dropStaleHostedLocked removes hosted attempts that were not recorded under the
 // shard assignment in which their owner asked: it finds that they are not here.
 func (s *Scheduler) dropStaleHostedLocked(m *machine) {
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -51,7 +51,7 @@
 // canHandOverLocked tells whether a machine can change to another scheduler: idle,
 // and nothing that this scheduler has sent can still come to it.
 func (s *Scheduler) canHandOverLocked(m *machine, now time.Time) bool {
-	return s.usableLocked(m, now) && m.Idle() && !m.dirty && !m.sending && !m.RequestPending()
+	return s.usableLocked(m, now) && m.Idle() && !m.record.Dirty && !m.sending && !m.RequestPending()
 }
 
 // handoverCandidatesLocked returns the machines that can change to another scheduler,
@@ -94,7 +94,7 @@
 			about[m.Name] = value
 			batch = append(batch, m)
 			s.list.Close(m)
-			s.records.leave(m)
+			s.checkpoints.Leave(&m.record)
 			delete(s.machines, m.Name)
 			s.moving[m.Name] = true
 		}
--- a/internal/scheduler/hosting.go
+++ b/internal/scheduler/hosting.go
@@ -152,7 +152,7 @@
 	s.describe(a, &r.record.Job, r.job.EffectivePriority)
 	m.Add(a, now)
 	m.looked = 0
-	m.dirty = true
+	m.record.Dirty = true
 	m.useReservation(id)
 	r.job.Zones[m.Zone]++
 	r.placed++
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -22,7 +22,7 @@
 func (s *Scheduler) removeReleasedLocked(m *machine) {
 	s.handleLocked(m, m.MarkReleased())
 	s.list.Close(m)
-	s.records.leave(m)
+	s.checkpoints.Leave(&m.record)
 	delete(s.machines, m.Name)
 	if _, named := s.opts.Authority.OwnerOf(m.Name); named {
 		// Whoever takes over what is ours must not take it for a machine.
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -37,7 +37,7 @@
 			break
 		}
 		queued.Dequeue()
-		dirty := m.dirty
+		dirty := m.record.Dirty
 		a := s.placeLocked(queued, index, m, now)
 		if len(booked) > 0 {
 			// Peers find each other by the number of their attempt.
@@ -56,7 +56,7 @@
 	for _, b := range slices.Backward(booked) {
 		b.m.Attempts.Delete(b.a.Key)
 		b.m.looked = 0
-		b.m.dirty = b.dirty
+		b.m.record.Dirty = b.dirty
 		s.releaseAttemptLocked(b.a)
 		s.closeIfEmptyLocked(b.m)
 	}
@@ -261,7 +261,7 @@
 	m.Add(a, now)
 	m.looked = 0
 	s.countAttemptLocked(m.Zone, a)
-	m.dirty = true
+	m.record.Dirty = true
 	s.log.Debug("placed", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "image_held", m.HasImage(a.Image))
 	return a
 }
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 
+	"heronwick/internal/checkpoint"
 	"heronwick/internal/cluster"
 	"heronwick/internal/fleet"
 	"heronwick/internal/job"
@@ -140,7 +141,7 @@
 // adoptedMachine is a machine to adopt, with the buckets that hold its record.
 type adoptedMachine struct {
 	machine *fleet.Machine
-	buckets []*bucket
+	buckets []*checkpoint.Bucket
 }
 
 // placeRecordsLocked takes from the records what may be on machines: on those
@@ -185,7 +186,7 @@
 // placeRecordLocked takes a machine's record from a bucket: one to adopt is collected,
 // of another's what may be on it of own jobs is tracked. taken is the bucket, if the
 // scheduler takes it over.
-func (s *Scheduler) placeRecordLocked(adopting *adoption, name string, record fleet.Record, taken *bucket) {
+func (s *Scheduler) placeRecordLocked(adopting *adoption, name string, record fleet.Record, taken *checkpoint.Bucket) {
 	if s.machines[name] != nil || s.isReleasedLocked(name) {
 		return
 	}
@@ -202,7 +203,7 @@
 }
 
 // add collects a machine with what a record says of it, which may be one of several.
-func (a *adoption) add(name string, record fleet.Record, token uint64, taken *bucket) {
+func (a *adoption) add(name string, record fleet.Record, token uint64, taken *checkpoint.Bucket) {
 	adopted := a.machines[name]
 	if adopted == nil {
 		adopted = &adoptedMachine{machine: fleet.FromRecord(name, record, token, a.now)}
@@ -214,8 +215,8 @@
 		return
 	}
 	adopted.buckets = append(adopted.buckets, taken)
-	if len(adopted.buckets) > 1 || fleet.IsJournal(taken.key) {
-		taken.leftover[name] = record
+	if len(adopted.buckets) > 1 || taken.IsJournal() {
+		taken.Keep(name, record)
 	}
 }
 
@@ -223,17 +224,15 @@
 // does, as it does with the machines. It returns nil for another's bucket, and
 // for one that is this scheduler's already: what that says of a machine that is
 // only now taken is from before the machine was handed over, idle.
-func (s *Scheduler) takeBucketLocked(rp recovery.Bucket) *bucket {
-	if s.records.buckets[rp.Key] != nil {
+func (s *Scheduler) takeBucketLocked(stored recovery.Bucket) *checkpoint.Bucket {
+	if s.checkpoints.Bucket(stored.Key) != nil {
 		return nil
 	}
-	node, since, ok := fleet.BucketOwner(rp.Key)
+	node, since, ok := fleet.BucketOwner(stored.Key)
 	if s.epoch.Leader != s.opts.Node || ok && s.epoch.Members[node].Since == since {
 		return nil
 	}
-	p := &bucket{key: rp.Key, version: rp.Version, size: rp.Size, machines: map[string]bool{}, untidy: true, written: time.Now(), leftover: map[string]fleet.Record{}}
-	s.records.buckets[p.key] = p
-	return p
+	return s.checkpoints.AdoptBucket(stored.Key, stored.Version, stored.Size)
 }
 
 // trackRecordLocked tracks what another's machine may hold of own jobs.
@@ -251,15 +250,11 @@
 
 // adoptMachineLocked takes a machine with what the records say may be on it.
 // buckets hold those: the first is its own from now on.
-func (s *Scheduler) adoptMachineLocked(fm *fleet.Machine, buckets []*bucket, outcomes map[string]job.Outcome, now time.Time) {
+func (s *Scheduler) adoptMachineLocked(fm *fleet.Machine, buckets []*checkpoint.Bucket, outcomes map[string]job.Outcome, now time.Time) {
 	answered := s.answeredEarly[fm.Name]
 	m := s.addMachineLocked(fm, now)
 	m.LastReply = answered
-	if len(buckets) > 0 && !fleet.IsJournal(buckets[0].key) {
-		m.bucket, buckets = buckets[0], buckets[1:]
-		m.bucket.machines[m.Name] = true
-	}
-	s.records.scatter(m, buckets...)
+	s.checkpoints.AdoptMachine(&m.record, buckets)
 	over := map[string]job.Outcome{}
 	for _, a := range m.Attempts.All() {
 		if outcome, ok := outcomes[a.Job]; ok {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -118,19 +118,16 @@
 // machine is a machine that the scheduler owns, with its decisions about it.
 type machine struct {
 	detector.Worker
-	bucket       *bucket   // where its record is; nil: it has none
-	elsewhere    []*bucket // that still hold a record of it
-	dirty        bool      // it has attempts that are on no record yet
-	due          bool      // its bucket must be written
-	sending      bool      // a direct command is under way
+	record       checkpoint.Machine // what is recorded of it
+	sending      bool               // a direct command is under way
 	sendAgain    bool
-	looked       uint64 // the pass that found the next two
 	usable       bool
 	free         placement.Resources
+	looked       uint64 // the pass that found whether it is usable and what is free
 	returning    bool
 	returnIntent bool      // an owner before has recorded that it is to be returned
-	returnAgain  time.Time // not before then, since the last try was refused
 	quarantined  bool      // fails what it starts: no new placements
+	returnAgain  time.Time // not before then, since the last try was refused
 	failedJobs   map[string]bool
 	idleSince    time.Time
 	cooling      time.Time // no placements before then
@@ -169,12 +166,9 @@
 	placeThrottle     remote.Throttle
 	denied            remote.DeniedAttempts // hosted here never more
 	machines          map[string]*machine
-	records           *recordTable
-	journaled         time.Time // when one may next be written
-	journalDue        bool      // and it waits to be written again
-	consolidating     int       // buckets that are written only to gather what several hold
 	valueLimit        *checkpoint.ValueLimit
-	moving            map[string]bool // machines whose owner is being written
+	checkpoints       *checkpoint.Writer // records what may be on the machines
+	moving            map[string]bool    // machines whose owner is being written
 	takeover          takeover
 	probeRate         *rate.Limiter
 	detector          *detector.Detector
@@ -215,11 +209,7 @@
 	}
 	s.valueLimit = checkpoint.NewValueLimit(opts.Settings, opts.Log)
 	s.planner = &autoscale.Planner{Types: s.types, Inventory: s.inventory}
-	s.records = &recordTable{
-		buckets: map[string]*bucket{}, scattered: map[*machine]bool{},
-		bucketKey: s.bucketKey, journalKey: s.journalKey, bucketLimit: s.bucketLimit,
-		owns: func(m *machine) bool { return s.machines[m.Name] == m },
-	}
+	s.checkpoints = s.newCheckpointWriter()
 	s.detector = detector.New(detector.Settings{HeartbeatInterval: opts.Settings.ReportEvery, LeaseDuration: opts.Settings.LeaseFor,
 		CommandTimeout: commandTimeout, Latency: opts.Latency})
 	s.completions = completion.NewTable(completionScheduler{s}, opts.Settings, s.log)
@@ -252,7 +242,7 @@
 }
 
 func (s *Scheduler) addMachineLocked(fm *fleet.Machine, now time.Time) *machine {
-	m := &machine{Worker: detector.NewWorker(fm, now), failedJobs: map[string]bool{}, idleSince: now}
+	m := &machine{Worker: detector.NewWorker(fm, now), record: checkpoint.Machine{Machine: fm}, failedJobs: map[string]bool{}, idleSince: now}
 	m.Type = s.types[m.TypeName]
 	m.base, m.fence = s.epoch.Token, s.epoch.Token
 	m.returnIntent = s.opts.Actions.Condemned(m.Name)
