--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -14,8 +14,9 @@
 	"heronwick/wire"
 )
 
-// takeHandedOverLocked takes a machine that another controller has handed over: nothing is on it,
-// and it can be used at once by what its owner before knew of it.
+// takeHandedOverLocked takes a machine that another controller has handed over:
+// nothing is on it, and it can be used at once by what its owner before knew
+// of it.
 func (s *Scheduler) takeHandedOverLocked(name string, o cluster.Owner) {
 	now := time.Now()
 	var r fleet.Record
@@ -23,14 +24,14 @@
 		s.log.Error("a handed-over machine record is unreadable", "machine", name, "err", err)
 		return
 	}
-	t := s.addMachineLocked(fleet.FromRecord(name, r, s.epoch.Token, now), now)
-	// Its owner before answered its worker for the last time before it gave
-	// the machine, and under this token or an older one.
-	t.base, t.fence, t.LastReply, t.HeartbeatSeen = 0, 0, now, true
+	m := s.addMachineLocked(fleet.FromRecord(name, r, s.epoch.Token, now), now)
+	// Its owner before answered its worker for the last time before it handed
+	// the machine over, and under this token or an older one.
+	m.base, m.fence, m.LastReply, m.HeartbeatSeen = 0, 0, now, true
 }
 
 // transfer makes node the owner of machines, or, with no node, tells that they
-// are gone for good.
+// are released.
 func (s *Scheduler) transfer(ctx context.Context, node string, machines map[string]json.RawMessage, priority state.Priority) error {
 	s.mu.Lock()
 	fence := s.fenceLocked()
@@ -48,14 +49,14 @@
 	return nil
 }
 
-// canHandOverLocked tells whether a machine can change to another scheduler: idle,
-// and nothing that this scheduler has sent can still come to it.
+// canHandOverLocked tells whether a machine can change to another controller:
+// idle, and nothing that this one has sent can still come to it.
 func (s *Scheduler) canHandOverLocked(m *machine, now time.Time) bool {
 	return s.usableLocked(m, now) && m.Idle() && !m.record.Dirty && !m.sending && !m.RequestPending()
 }
 
-// handoverCandidatesLocked returns the machines that can change to another scheduler,
-// those idle for the longest first.
+// handoverCandidatesLocked returns the machines that can change to another
+// controller, those idle for the longest first.
 func (s *Scheduler) handoverCandidatesLocked(now time.Time) []*machine {
 	var idle []*machine
 	for _, m := range s.machines {
@@ -67,115 +68,162 @@
 	return idle
 }
 
-// imagesPartOfTransfer is which part of a transfer's value the images of one
-// machine may take.
-const imagesPartOfTransfer = 16
+const (
+	// imagesPartOfTransfer is which part of a transfer's value the images of one
+	// machine may take.
+	imagesPartOfTransfer = 16
+	// transferSyntax is more than a machine takes of a transfer beside its name
+	// and its record.
+	transferSyntax = 8
+)
+
+// handoverBatch is what one write hands over: the machines, and their records
+// by name.
+type handoverBatch struct {
+	machines []*machine
+	records  map[string]json.RawMessage
+}
 
-// handOverLocked hands idle machines over to another controller. This one answers their
-// workers no more before the write goes out.
+// handOverLocked hands idle machines over to another controller, in as many
+// writes as they take. This one answers their workers no more before a write
+// goes out.
 func (s *Scheduler) handOverLocked(machines []*machine, node string) {
 	for len(machines) > 0 {
-		batch, about, size := []*machine{}, map[string]json.RawMessage{}, 0
-		for len(machines) > 0 {
-			m := machines[0]
-			handover := m.TransferRecord()
-			handover.KeepImages(s.valueLimit.Bytes() / imagesPartOfTransfer)
-			value, err := json.Marshal(handover)
-			if err != nil {
-				s.log.Error("encoding a machine", "machine", m.Name, "err", err)
-				machines = machines[1:]
-				continue
-			}
-			size += len(value) + len(m.Name) + 8
-			if len(batch) > 0 && size > s.valueLimit.Bytes() {
-				break
-			}
-			machines = machines[1:]
-			about[m.Name] = value
-			batch = append(batch, m)
-			s.list.Close(m)
-			s.checkpoints.Leave(&m.record)
-			delete(s.machines, m.Name)
-			s.moving[m.Name] = true
-		}
-		if len(batch) == 0 {
+		var batch handoverBatch
+		batch, machines = s.nextHandoverBatchLocked(machines)
+		if len(batch.machines) == 0 {
 			return
 		}
-		s.log.Info("handing over machines", "to", node, "count", len(batch), "first", batch[0].Name)
-		s.goDo(func(ctx context.Context) {
-			err := s.transfer(ctx, node, about, state.Placement)
-			if err != nil {
-				s.log.Info("handing over machines failed", "to", node, "err", err)
-			}
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			for _, m := range batch {
-				delete(s.moving, m.Name)
-				var conflict *state.Conflict
-				if (errors.As(err, &conflict) || err != nil && ctx.Err() == nil) &&
-					s.opts.Authority.HostOf(&s.epoch.Epoch, m.Name) == s.opts.Node && s.machines[m.Name] == nil {
-					s.machines[m.Name] = m // not carried out: it is still ours
-				}
-			}
-			s.recheckEpoch()
-		})
+		s.log.Info("handing over machines", "to", node, "count", len(batch.machines), "first", batch.machines[0].Name)
+		s.goDo(func(ctx context.Context) { s.sendHandover(ctx, node, batch) })
 	}
 }
 
-// regroupEvery is how often idle machines are regrouped among the schedulers.
-const regroupEvery = 30 * time.Second
+// nextHandoverBatchLocked takes as many machines as one write holds, at least
+// one, out of the scheduler's own, and returns the rest.
+func (s *Scheduler) nextHandoverBatchLocked(machines []*machine) (batch handoverBatch, rest []*machine) {
+	batch.records = map[string]json.RawMessage{}
+	size := 0
+	for i, m := range machines {
+		record := m.TransferRecord()
+		record.KeepImages(s.valueLimit.Bytes() / imagesPartOfTransfer)
+		value, err := json.Marshal(record)
+		if err != nil {
+			s.log.Error("encoding a machine", "machine", m.Name, "err", err)
+			continue
+		}
+		size += len(value) + len(m.Name) + transferSyntax
+		if len(batch.machines) > 0 && size > s.valueLimit.Bytes() {
+			return batch, machines[i:]
+		}
+		batch.machines = append(batch.machines, m)
+		batch.records[m.Name] = value
+		s.list.Close(m)
+		s.checkpoints.Leave(&m.record)
+		delete(s.machines, m.Name)
+		s.moving[m.Name] = true
+	}
+	return batch, nil
+}
 
-// regroupLocked gives idle machines that are more than a scheduler needs at hand
-// back to the leader, and lets the leader hand them to schedulers without one. A
-// scheduler that starves gets them at once, see Place.
-func (s *Scheduler) regroupLocked(now time.Time) {
-	if !s.loaded || !s.permitted() || now.Sub(s.grouped) < regroupEvery {
-		return
+// sendHandover writes a batch. Machines whose write was not carried out stay
+// this scheduler's.
+func (s *Scheduler) sendHandover(ctx context.Context, node string, batch handoverBatch) {
+	err := s.transfer(ctx, node, batch.records, state.Placement)
+	if err != nil {
+		s.log.Info("handing over machines failed", "to", node, "err", err)
 	}
-	s.grouped = now
-	s.inventory.ForgetReleased(now)
-	for name, at := range s.unknownTasksSince {
-		if now.Sub(at) > 10*time.Minute {
-			delete(s.unknownTasksSince, name) // gone, or it would have been decided
+	var conflict *state.Conflict
+	refused := errors.As(err, &conflict) || err != nil && ctx.Err() == nil
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, m := range batch.machines {
+		delete(s.moving, m.Name)
+		if refused && s.opts.Authority.HostOf(&s.epoch.Epoch, m.Name) == s.opts.Node && s.machines[m.Name] == nil {
+			s.machines[m.Name] = m
 		}
 	}
-	for _, queued := range s.jobs {
-		if queued.Record.Job.Kind == wire.KindGang && !queued.UnplacedSince.IsZero() {
-			return // it gathers machines
-		}
+	s.recheckEpoch()
+}
+
+const (
+	// rebalanceEvery is how often idle machines are rebalanced among the controllers.
+	rebalanceEvery = 30 * time.Second
+	// unknownTasksMemory is how long a machine with tasks of unknown jobs is
+	// remembered: it is gone, or it would have been decided.
+	unknownTasksMemory = 10 * time.Minute
+	// keepIdlePart is for how many machines in use one idle machine stays at hand.
+	keepIdlePart = 4
+)
+
+// rebalanceIdleLocked hands idle machines that are more than a controller
+// needs at hand over to the leader, and lets the leader hand them over to
+// controllers without one. A controller that starves gets them at once, see
+// Place.
+func (s *Scheduler) rebalanceIdleLocked(now time.Time) {
+	if !s.loaded || !s.permitted() || now.Sub(s.rebalanced) < rebalanceEvery {
+		return
+	}
+	s.rebalanced = now
+	s.forgetOldMachinesLocked(now)
+	if s.gathersForGangLocked() {
+		return
 	}
 	idle := s.handoverCandidatesLocked(now)
 	if len(idle) <= 1 {
 		return
 	}
-	// So many stay at hand: what a scheduler has in use tells what it will need.
-	keep := max(1, (len(s.machines)-len(idle))/4)
-	if len(idle) <= keep {
-		return
+	// What a controller has in use tells what it will need.
+	keep := max(1, (len(s.machines)-len(idle))/keepIdlePart)
+	switch {
+	case len(idle) <= keep:
+	case s.epoch.Leader == s.opts.Node:
+		s.spreadIdleLocked(idle, keep)
+	case !s.opts.Authority.PeerLoads()[s.epoch.Leader].Overloaded:
+		s.handOverLocked(idle[keep:], s.epoch.Leader)
 	}
-	if s.epoch.Leader != s.opts.Node {
-		if !s.opts.Authority.PeerLoads()[s.epoch.Leader].Overloaded {
-			s.handOverLocked(idle[keep:], s.epoch.Leader)
+}
+
+// forgetOldMachinesLocked forgets machines that have been gone for long.
+func (s *Scheduler) forgetOldMachinesLocked(now time.Time) {
+	s.inventory.ForgetReleased(now)
+	for name, at := range s.unknownTasksSince {
+		if now.Sub(at) > unknownTasksMemory {
+			delete(s.unknownTasksSince, name)
 		}
-		return
 	}
-	var poor []string
+}
+
+// gathersForGangLocked tells whether a gang of this scheduler waits for machines.
+func (s *Scheduler) gathersForGangLocked() bool {
+	for _, queued := range s.jobs {
+		if queued.Record.Job.Kind == wire.KindGang && !queued.UnplacedSince.IsZero() {
+			return true
+		}
+	}
+	return false
+}
+
+// spreadIdleLocked hands over idle machines, but for those to keep, in equal
+// parts to the controllers that have jobs and no idle machine; one part stays.
+func (s *Scheduler) spreadIdleLocked(idle []*machine, keep int) {
+	var starving []string
 	for node := range s.epoch.Members {
-		if node != s.opts.Node && s.opts.Authority.Idle(node) == 0 && s.hasTeam(node) {
-			poor = append(poor, node)
+		if node != s.opts.Node && s.opts.Authority.Idle(node) == 0 && s.hasJobs(node) {
+			starving = append(starving, node)
 		}
 	}
-	each := (len(idle) - keep) / (len(poor) + 1)
-	if len(poor) == 0 || each == 0 {
+	each := (len(idle) - keep) / (len(starving) + 1)
+	if each == 0 {
 		return
 	}
-	for i, node := range poor {
+	for i, node := range starving {
 		s.handOverLocked(idle[i*each:(i+1)*each], node)
 	}
 }
 
-// hasTeam tells whether the member has jobs to place.
-func (s *Scheduler) hasTeam(node string) bool {
+// hasJobs tells whether the member has jobs to place.
+func (s *Scheduler) hasJobs(node string) bool {
 	for _, r := range s.opts.Jobs.AllActive() {
 		if s.epoch.OwnerOf(r.Job.Team, r.Job.ID) == node {
 			return true
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -185,7 +185,7 @@
 	idleReserve       int             // how many machines may stay idle
 	ledSince          time.Time       // when this controller last began to lead
 	resigned          time.Time
-	grouped           time.Time // when idle machines were last regrouped
+	rebalanced        time.Time // when idle machines were last rebalanced
 	shedAt            time.Time // when some were last given away for want of processor time
 	overloaded        time.Time // when this controller was last short of processor time
 	progressReported  time.Time // when the progress of all jobs was last reported
@@ -288,7 +288,7 @@
 	s.epochChecked.Store(false) // in case that a change went unnoticed
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.regroupLocked(now)
+	s.rebalanceIdleLocked(now)
 	s.shedIdleMachinesLocked(now)
 	s.watchMachinesLocked(now)
 	if now.Sub(s.upkeep.summarized) >= summarizeEvery {
