--- a/internal/autoscale/doc.go
+++ b/internal/autoscale/doc.go
@@ -1,9 +1,11 @@
-// Package autoscale decides which machines to rent, and sends the requests.
+// Package autoscale decides which machines to rent and which idle ones to
+// return, and sends the requests.
 //
 // A Planner packs the demand that finds no room onto the machines that are
 // booting and onto new ones, and keeps a reserve. An Inventory knows the
 // machines that are booting or released and what the cloud has lately refused.
-// A Renter sends recorded rent requests and repeats those without an answer.
+// A Renter and a Returner record requests, send them and repeat those without
+// an answer.
 //
 // A Planner and its Inventory are not safe for concurrent use: the lock of the
 // scheduler that owns them guards them.
--- a/internal/autoscale/planner.go
+++ b/internal/autoscale/planner.go
@@ -16,10 +16,14 @@
 	// lateBoot is by what factor of its usual boot time a machine may be late
 	// and still count as coming.
 	lateBoot = 1.7
+	// maxBootFactor is by what factor of its usual boot time a machine may be
+	// late before it is returned: some take several times as long as usual, a
+	// few for ever.
+	maxBootFactor = 3
+	// usualBoot is the boot time of a machine of an unknown type.
+	usualBoot = 30 * time.Second
 	// reservePart is which part of the fleet's CPUs is kept free.
 	reservePart = 4
-	// idlePart is which part of the machines may stay idle in reserve.
-	idlePart = 5
 	// minCPUs stands for the CPUs of a type without any, in prices per CPU.
 	minCPUs = 0.001
 )
@@ -42,10 +46,6 @@
 	PeerCPUs, PeerFreeCPUs float64
 }
 
-// IdleReserve returns how many machines of so many usable ones are kept idle
-// rather than returned.
-func IdleReserve(usable int) int { return max(1, usable/idlePart) }
-
 // Planner decides which machines to rent. It does no I/O and is not safe for
 // concurrent use.
 type Planner struct {
@@ -65,6 +65,23 @@
 	return plan.requests()
 }
 
+// Overdue returns the booting machines that have not come up in time, by a
+// list of the cloud's that lags. Each must also have been known here for
+// longer than patience.
+func (p *Planner) Overdue(listLag, patience time.Duration, now time.Time) []string {
+	limit := func(place placement.Place) time.Duration { return p.bootLimit(place) + 2*listLag }
+	return p.Inventory.Overdue(now, limit, patience)
+}
+
+// bootLimit is after how long a machine that has not come up is returned.
+func (p *Planner) bootLimit(place placement.Place) time.Duration {
+	boot := usualBoot
+	if t := p.Types[place.Type]; t != nil {
+		boot = time.Duration(t.BootS * float64(time.Second))
+	}
+	return maxBootFactor * boot
+}
+
 // plan is one round of planning: the machines that are coming or would be
 // rented, and how many machines each zone has then.
 type plan struct {
--- /dev/null
+++ b/internal/autoscale/renter_test.go
@@ -0,0 +1,65 @@
+package autoscale
+
+import (
+	"context"
+	"errors"
+	"io"
+	"log/slog"
+	"slices"
+	"testing"
+	"testing/synctest"
+
+	"heronwick/internal/cloud"
+	"heronwick/internal/duty"
+	"heronwick/internal/state"
+	"heronwick/wire"
+)
+
+// scriptedActions answers requests with the errors that it is given by name.
+type scriptedActions struct {
+	open   []duty.OpenRental
+	errors map[string]error
+	sent   []string
+	closed int
+}
+
+func (a *scriptedActions) Guard(duty.ID) (duty.Guard, error) { return duty.Guard{}, nil }
+func (a *scriptedActions) OpenRentals() []duty.OpenRental    { return a.open }
+func (a *scriptedActions) RecordRentals(_ context.Context, _ duty.Guard, _ state.FencingCondition, requests []wire.RentRequest) (duty.OpenRental, error) {
+	return duty.OpenRental{Requests: requests}, nil
+}
+func (a *scriptedActions) Rent(_ context.Context, _ duty.Guard, req wire.RentRequest) ([]string, error) {
+	a.sent = append(a.sent, req.Request)
+	return nil, a.errors[req.Request]
+}
+func (a *scriptedActions) CloseRental(context.Context, duty.Guard, duty.OpenRental) { a.closed++ }
+
+// Requests that are recorded and not answered are sent before anything is
+// planned, a few times each; their intent is closed only once all are answered.
+func TestOpenRentalsComeFirst(t *testing.T) {
+	unanswered := errors.New("no answer")
+	for _, test := range []struct {
+		name   string
+		open   []duty.OpenRental
+		err    error
+		sent   []string
+		closed int
+	}{
+		{"none open", nil, nil, []string{"new"}, 1},
+		{"open, filled", []duty.OpenRental{{Requests: []wire.RentRequest{{Request: "old"}}}}, nil, []string{"old"}, 1},
+		{"open, refused", []duty.OpenRental{{Requests: []wire.RentRequest{{Request: "old"}}}}, cloud.ErrNoCapacity, []string{"old"}, 1},
+		{"open, unanswered", []duty.OpenRental{{Requests: []wire.RentRequest{{Request: "old"}}}, {}}, unanswered, []string{"old", "old", "old"}, 0},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			actions := &scriptedActions{open: test.open, errors: map[string]error{"old": test.err}}
+			renter := &Renter{Actions: actions, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+				Plan:   func() []wire.RentRequest { return []wire.RentRequest{{Request: "new"}} },
+				Fence:  func() state.FencingCondition { return state.FencingCondition{} },
+				Rented: func(wire.RentRequest, []string, error) {}}
+			renter.Round(t.Context())
+			if !slices.Equal(actions.sent, test.sent) || actions.closed != test.closed {
+				t.Errorf("%s: sent %v and closed %d, want %v and %d", test.name, actions.sent, actions.closed, test.sent, test.closed)
+			}
+		})
+	}
+}
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -17,21 +17,12 @@
 )
 
 const (
-	// keepWarm is how long an idle machine is kept for what may come.
-	keepWarm = 5 * time.Minute
-	// keepUnused is how long it is kept while there are no jobs at all.
-	keepUnused = 30 * time.Second
 	// maxWants bounds the jobs of which a scheduler tells that they find no room.
 	maxWants = 500
 	// cloudEvery is how often it is looked whether to rent or return machines.
 	cloudEvery = 500 * time.Millisecond
 	// listEvery is how often the cloud's list is read.
 	listEvery = 5 * time.Second
-	// usualBoot is the boot time of a machine of an unknown type.
-	usualBoot = 30 * time.Second
-	// maxBootFactor is by what factor of its usual boot time a machine may be
-	// late before it is returned.
-	maxBootFactor = 3
 )
 
 // runCloud reads the cloud's list, rents and returns. One controller does, so that
@@ -92,46 +83,31 @@
 		s.inventory.Expect(lm.ID, placement.Place{Type: lm.Type, Zone: lm.Zone, Spot: lm.Spot}, now.Add(-age), now)
 	}
 	// A list lags, and by up to double its usual lag.
-	stuck := s.inventory.Overdue(now, s.bootLimit, 2*s.opts.Settings.ListLag+s.detector.DeadAfter())
+	overdue := s.planner.Overdue(s.opts.Settings.ListLag, 2*s.opts.Settings.ListLag+s.detector.DeadAfter(), now)
 	s.reclaimLocked(failed, "failed")
-	s.reclaimLocked(stuck, "never came up")
-	s.reclaimLocked(s.abandonedReturnsLocked(), reasonRecordedBefore)
+	s.reclaimLocked(overdue, "never came up")
+	s.reclaimLocked(s.abandonedReturnsLocked(), autoscale.ReasonRecordedBefore)
 }
 
-// bootLimit is after how long a machine that has not come up is returned: some
-// take several times as long as usual, a few for ever.
-func (s *Scheduler) bootLimit(place placement.Place) time.Duration {
-	boot := usualBoot
-	if t := s.types[place.Type]; t != nil {
-		boot = time.Duration(t.BootS * float64(time.Second))
-	}
-	return maxBootFactor*boot + 2*s.opts.Settings.ListLag
-}
-
-// returnIdleLocked returns a machine that has been idle for long, if more
-// are idle than are wanted in reserve.
+// returnIdleLocked returns machines that have been idle for long, if more are
+// idle than are wanted in reserve.
 func (s *Scheduler) returnIdleLocked(now time.Time) {
 	if !s.loaded || !s.permitted() {
 		return
 	}
-	var idle []*machine
+	var idle []autoscale.IdleMachine
 	for _, m := range s.machines {
 		if m.returning || m.ActiveCount() > 0 || m.Attempts.Len() > 0 || m.record.Dirty || m.record.Writing() || !s.synced(m) {
 			continue
 		}
-		idle = append(idle, m)
-	}
-	if len(idle) <= s.idleReserve {
-		return
+		idle = append(idle, autoscale.IdleMachine{Name: m.Name, Since: m.idleSince})
 	}
-	slices.SortFunc(idle, func(a, b *machine) int { return a.idleSince.Compare(b.idleSince) })
-	back, warm := idle[:1], keepWarm
-	if len(s.opts.Jobs.AllActive()) == 0 {
-		// Nobody wants anything, so only the reserve is worth its price.
-		back, warm = idle[:len(idle)-s.idleReserve], keepUnused
+	hasJobs := func() bool { return len(s.opts.Jobs.AllActive()) > 0 }
+	var surplus []*machine
+	for _, name := range autoscale.SurplusIdle(idle, s.idleReserve, hasJobs, now) {
+		surplus = append(surplus, s.machines[name])
 	}
-	back = slices.DeleteFunc(back, func(m *machine) bool { return now.Sub(m.idleSince) <= warm })
-	s.returnLocked(back, reasonIdle)
+	s.returnLocked(surplus, autoscale.ReasonIdle)
 }
 
 // wantsLocked tells the peers what finds no room here: one controller rents,
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -5,6 +5,7 @@
 	"iter"
 	"time"
 
+	"heronwick/internal/autoscale"
 	"heronwick/internal/detector"
 )
 
@@ -44,11 +45,11 @@
 	s.resignIfPartitionedLocked(assessment, now)
 	raise := false
 	token := s.opts.Authority.Token()
-	returned := map[returnReason][]*machine{}
+	returned := map[autoscale.ReturnReason][]*machine{}
 	for _, m := range s.machines {
 		s.probeIfDueLocked(m, now)
 		s.expireLeaseIfDueLocked(m, now)
-		if reason := s.returnReasonLocked(m, assessment, now); reason != notReturned {
+		if reason := s.returnReasonLocked(m, assessment, now); reason != autoscale.NotReturned {
 			returned[reason] = append(returned[reason], m)
 		}
 		if !m.Notice.IsZero() || assessment.HeartbeatsMissing(&m.Worker) {
@@ -104,25 +105,25 @@
 	return s.detector.LeaseExpiry(&m.Worker, fenced), true
 }
 
-// returnReasonLocked tells why a machine is to be returned, or notReturned.
-func (s *Scheduler) returnReasonLocked(m *machine, assessment *detector.Assessment, now time.Time) returnReason {
+// returnReasonLocked tells why a machine is to be returned, if it is.
+func (s *Scheduler) returnReasonLocked(m *machine, assessment *detector.Assessment, now time.Time) autoscale.ReturnReason {
 	switch {
 	case m.returning:
-		return notReturned
+		return autoscale.NotReturned
 	case m.returnIntent:
-		return reasonRecordedBefore
+		return autoscale.ReasonRecordedBefore
 	case assessment.Dead(&m.Worker):
-		return reasonLost
+		return autoscale.ReasonLost
 	case s.overdueLocked(m, now):
-		return reasonOverdueTask
+		return autoscale.ReasonOverdueTask
 	case assessment.Unreachable(&m.Worker):
-		return reasonUnreachable
+		return autoscale.ReasonUnreachable
 	case m.quarantined && m.ActiveCount() == 0:
-		return reasonQuarantined
+		return autoscale.ReasonQuarantined
 	case m.ActiveCount() == 0 && assessment.HeartbeatsMissingForGood(&m.Worker):
-		return reasonCannotReport
+		return autoscale.ReasonCannotReport
 	}
-	return notReturned
+	return autoscale.NotReturned
 }
 
 // overdueLocked tells whether a cancelled job's task may still be there when
--- a/internal/scheduler/probes.go
+++ b/internal/scheduler/probes.go
@@ -6,6 +6,7 @@
 
 	"golang.org/x/time/rate"
 
+	"heronwick/internal/autoscale"
 	"heronwick/internal/detector"
 	"heronwick/wire"
 )
@@ -82,7 +83,7 @@
 // which it has begun.
 func (s *Scheduler) returnRestartedLocked(m *machine) {
 	m.IncarnationSeenAt = time.Now()
-	s.returnLocked([]*machine{m}, reasonRestarted)
+	s.returnLocked([]*machine{m}, autoscale.ReasonRestarted)
 }
 
 // probeSampleLocked asks some workers of each zone that have not been heard for a
--- a/internal/scheduler/returns.go
+++ b/internal/scheduler/returns.go
@@ -2,57 +2,30 @@
 
 import (
 	"context"
-	"math/rand/v2"
 	"time"
 
+	"heronwick/internal/autoscale"
 	"heronwick/internal/duty"
 	"heronwick/internal/fleet"
-	"heronwick/internal/state"
-	"heronwick/internal/wait"
 	"heronwick/wire"
 )
 
-// returnReason is why a machine is returned to the cloud. It is logged and
-// stored in the return intent.
-type returnReason string
-
-const (
-	notReturned          returnReason = ""
-	reasonIdle           returnReason = "idle"
-	reasonFailed         returnReason = "failed"
-	reasonNeverBooted    returnReason = "never came up"
-	reasonRecordedBefore returnReason = "condemned by its owner before"
-	reasonLost           returnReason = "lost"
-	reasonOverdueTask    returnReason = "a cancelled task may still be on it"
-	reasonUnreachable    returnReason = "nothing reaches it"
-	reasonQuarantined    returnReason = "set aside"
-	reasonCannotReport   returnReason = "it reaches nobody"
-	reasonRestarted      returnReason = "its worker has started anew"
-)
-
 const (
 	// returnAgainAfter is how long a machine is kept whose return was refused.
 	returnAgainAfter = time.Second
-	// overdueRecordTime is how long recording the return of a machine may take when a
-	// cancelled task must be gone from it.
-	overdueRecordTime = time.Second
-	// returnRetryAfter and a random part of returnRetryJitter are how long after
-	// a return that failed it is tried again.
-	returnRetryAfter  = 300 * time.Millisecond
-	returnRetryJitter = 400 * time.Millisecond
 	// closeReturnsEvery is how often intents are looked through whose machines are gone.
 	closeReturnsEvery = 3 * time.Second
 )
 
 // returnLocked returns machines of this scheduler to the cloud. When the cloud
 // says so, they and all that was on them are gone.
-func (s *Scheduler) returnLocked(machines []*machine, reason returnReason) {
+func (s *Scheduler) returnLocked(machines []*machine, reason autoscale.ReturnReason) {
 	s.beginReturnLocked(duty.ID{Name: duty.Return, Scope: duty.Share(s.opts.Node)}, machines, reason)
 }
 
 // reclaimLocked returns machines that may have no worker, and that no scheduler
 // looks after.
-func (s *Scheduler) reclaimLocked(names []string, reason returnReason) {
+func (s *Scheduler) reclaimLocked(names []string, reason autoscale.ReturnReason) {
 	var machines []*machine
 	for _, name := range names {
 		m := s.machines[name]
@@ -66,18 +39,18 @@
 
 // beginReturnLocked starts to return those of the machines that may be returned
 // now, under a duty.
-func (s *Scheduler) beginReturnLocked(id duty.ID, machines []*machine, reason returnReason) {
+func (s *Scheduler) beginReturnLocked(id duty.ID, machines []*machine, reason autoscale.ReturnReason) {
 	names := s.selectReturnsLocked(machines, reason, time.Now())
 	if len(names) == 0 {
 		return
 	}
-	fence := s.fenceLocked()
-	s.goDo(func(ctx context.Context) { s.carryOutReturn(ctx, id, fence, names, reason) })
+	ret := autoscale.Return{Duty: id, Fence: s.fenceLocked(), Machines: names, Reason: reason}
+	s.goDo(func(ctx context.Context) { s.returner().Execute(ctx, ret) })
 }
 
 // selectReturnsLocked marks as returning as many of the machines as fit one
 // request and one return intent, and returns their names.
-func (s *Scheduler) selectReturnsLocked(machines []*machine, reason returnReason, now time.Time) []string {
+func (s *Scheduler) selectReturnsLocked(machines []*machine, reason autoscale.ReturnReason, now time.Time) []string {
 	var names []string
 	for _, m := range machines {
 		if m.returning || now.Before(m.returnAgain) || len(names) == wire.MaxReturn {
@@ -93,29 +66,26 @@
 	return names
 }
 
-// carryOutReturn records that machines are to be returned, and returns them.
-func (s *Scheduler) carryOutReturn(ctx context.Context, id duty.ID, fence state.FencingCondition, names []string, reason returnReason) {
-	send, err := s.recordReturn(ctx, id, fence, names, reason)
-	if err != nil {
-		s.log.Info("machines are not returned for now", "machines", names, "err", err)
-		s.mu.Lock()
-		s.abortReturnLocked(names)
-		s.mu.Unlock()
-		return
-	}
-	for {
-		err := send(ctx)
-		if err == nil {
-			break
-		}
-		s.log.Info("returning machines failed, trying again", "machines", names, "err", err)
-		if !wait.Sleep(ctx, returnRetryAfter+rand.N(returnRetryJitter)) {
-			return
-		}
+// returner returns what carries out the returns of this scheduler.
+func (s *Scheduler) returner() *autoscale.Returner {
+	return &autoscale.Returner{
+		Actions: s.opts.Actions,
+		Released: func(machines []string) {
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			s.takeReleasedLocked(machines, time.Now())
+		},
+		Kept: func(machines []string) {
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			s.abortReturnLocked(machines)
+		},
+		Log: s.log,
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := time.Now()
+}
+
+// takeReleasedLocked removes machines that the cloud has taken back.
+func (s *Scheduler) takeReleasedLocked(names []string, now time.Time) {
 	for _, name := range names {
 		s.inventory.MarkReleased(name, now)
 		if m := s.machines[name]; m != nil {
@@ -125,23 +95,6 @@
 	s.poke()
 }
 
-// recordReturn records the return intent and gives what then carries it out. A
-// cancelled task must be gone by a time, also while the store cannot be
-// reached: its machine is then returned without an intent.
-func (s *Scheduler) recordReturn(ctx context.Context, id duty.ID, fence state.FencingCondition, names []string, reason returnReason) (send func(context.Context) error, err error) {
-	recording, overdue := ctx, reason == reasonOverdueTask
-	if overdue {
-		var cancel context.CancelFunc
-		recording, cancel = context.WithTimeout(ctx, overdueRecordTime)
-		defer cancel()
-	}
-	intent, err := s.opts.Actions.Condemn(recording, id, fence, names, string(reason))
-	if err != nil && overdue {
-		return func(ctx context.Context) error { return s.opts.Actions.GiveBackUnrecorded(ctx, id, names) }, nil
-	}
-	return func(ctx context.Context) error { return s.opts.Actions.GiveBack(ctx, intent) }, err
-}
-
 // abortReturnLocked keeps machines whose return could not be recorded, and
 // tries again later.
 func (s *Scheduler) abortReturnLocked(names []string) {
