--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -17,70 +17,70 @@
 type Attempt struct {
 	Key
 	Job     string
-	Index   int
+	Index   int // of the task in the job
 	Team    string
-	Rank    int
-	Service bool
+	Rank    int  // of the job's priority, 0 being the highest
+	Service bool // the job is a service
 	Image   string
 	ImageGB float64
 	Size    placement.Resources
 	Sized   bool // Size and Team are known
 
-	State    wire.TaskState // "" until a report shows it
-	Why      wire.ExitReason
-	Durable  bool      // its record is in the store: the start may be sent
-	Journal  string    // the journal that alone holds that record; "": none does
-	InBucket bool      // its machine's bucket holds it
-	Handled  bool      // it exited, and what follows from that is in the store
-	Stop     bool      // it is to be stopped
-	GraceS   float64   // for saving when stopped
-	MustGoBy time.Time // cancelled: by then it must be gone; zero otherwise
-	Placed   time.Time // when it was placed, or found
-	Running  time.Time // when it was first seen running
+	State    wire.TaskState  // "" until a heartbeat shows it
+	Why      wire.ExitReason // once it has exited
+	Durable  bool            // its record is in the store: the start may be sent
+	Journal  string          // key of the journal that alone holds that record; "": none does
+	InBucket bool            // its machine's bucket holds it
+	Handled  bool            // it exited, and what follows from that is in the store
+	Stop     bool            // it is to be stopped
+	GraceS   float64         // seconds for saving when it is stopped
+	MustGoBy time.Time       // cancelled: it must be gone by then; zero otherwise
+	Placed   time.Time       // when it was placed, or found
+	Running  time.Time       // when it was first seen running
 
-	// Restored: taken from a record at a takeover and not yet seen. Its
-	// start is not repeated; the first heartbeat under the new token settles
-	// whether it is there.
+	// Restored reports that it was read from a record at a takeover and has not
+	// been seen since. Its start is not sent again; the first heartbeat under the
+	// new token shows whether it is there.
 	Restored bool
 
-	// Counted: the scheduler has it in its sums, for Zone.
+	// Counted reports that the scheduler's sums include it, under Zone.
 	Counted bool
 	Zone    string
-	// Guest: its job belongs to another scheduler, which asked under the epoch of
-	// token Epoch to have it here.
+	// Guest reports that its job belongs to another scheduler, which had it placed
+	// here under the epoch of token Epoch.
 	Guest bool
 	Epoch uint64
 
-	incarnation     uint64
-	lastShownIn     uint64 // number of the last heartbeat taken that showed it
+	incarnation     uint64 // of the worker that it was sent to
+	lastShownIn     uint64 // number of the last applied heartbeat that showed it
 	repliedSeq      uint64 // Seq of the heartbeat whose reply last held its start
-	startInReply    bool
-	directStarts    int    // direct commands with its start that are under way
+	startInReply    bool   // a reply has held its start
+	directStarts    int    // direct requests with its start that are in flight
 	unansweredToken uint64 // highest token of a direct start without answer
 	maxStartToken   uint64 // highest token of any direct start
 }
 
-// Exited tells whether a heartbeat has shown the attempt's end.
+// Exited reports whether a heartbeat has shown that the attempt exited.
 func (a *Attempt) Exited() bool { return a.State == wire.TaskExited }
 
-// EventKind says what a heartbeat or a proof told of an attempt.
+// EventKind says what has become known of an attempt.
 type EventKind int
 
 // The kinds of event.
 const (
-	Started EventKind = iota // it runs
-	Exited                   // it has exited, see Why
+	Started EventKind = iota // it is running
+	Exited                   // it has exited, see Attempt.Why
 	Lost                     // it is gone without a result
-	Found                    // it is on the machine, though nothing recorded it
+	Found                    // it is on the machine, though no record says so
 )
 
-// Event is news of an attempt.
+// Event is a change of an attempt.
 type Event struct {
 	Kind    EventKind
 	Attempt *Attempt
 }
 
-// NeverSent tells whether no message has ever held the attempt's start.
+// NeverSent reports whether no message has ever held the attempt's start.
 func (a *Attempt) NeverSent() bool {
 	return a.State == "" && !a.Restored && !a.startInReply && a.directStarts == 0 && a.maxStartToken == 0
 }
--- a/internal/fleet/attempts.go
+++ b/internal/fleet/attempts.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// Attempts holds what may be on one machine, in the order in which it came. A
-// machine has a handful, which each heartbeat and each pass looks through, so they
-// are a slice rather than a map.
+// Attempts holds the attempts that may be on one machine, in the order in which
+// they were added. A machine has a handful, which each heartbeat and each
+// scheduling pass iterates, so they are a slice rather than a map.
 type Attempts struct {
 	all []*Attempt
 }
 
-// All returns every attempt. It stays as it is when attempts are put or deleted
-// afterwards, so that a loop over it may do either.
+// All returns every attempt. The slice does not change when attempts are put or
+// deleted afterwards, so a loop over it may do either.
 func (as *Attempts) All() []*Attempt { return as.all }
 
 // Len counts the attempts.
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// Put adds an attempt, in place of one with the same key.
+// Put adds an attempt or replaces the one with the same key.
 func (as *Attempts) Put(a *Attempt) {
 	if i := as.index(a.Key); i >= 0 {
 		as.all = slices.Clone(as.all)
@@ -58,6 +58,7 @@
 	return removed
 }
 
+// index returns the index of the attempt with the key, -1 if there is none.
 func (as *Attempts) index(key Key) int {
 	for i, a := range as.all {
 		if a.Attempt == key.Attempt && a.Task == key.Task {
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"net"
+	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -15,59 +16,71 @@
 	"heronwick/wire"
 )
 
-// ErrNoSocket says that nothing was sent, since no socket was free. It tells
-// nothing of the worker.
+// ErrNoSocket means that nothing was sent, since no socket was free. It says
+// nothing about the worker.
 var ErrNoSocket = errors.New("no socket is free")
 
-// Client talks straight to workers. A connection to each of them beside theirs
-// to us is more sockets than a controller may have once it alone looks after
-// the fleet, so connections are kept only as long as there are sockets enough.
+// Client sends requests directly to workers. A connection to each worker beside
+// the worker's own to the controller takes more sockets than a controller may have
+// that alone serves the fleet, so connections are kept only while there are enough
+// sockets. It is safe for concurrent use.
 type Client struct {
 	http    *fasthttp.Client
-	sockets int        // that this process may have
-	others  func() int // that it has for all else
-	open    atomic.Int64
+	sockets int          // limit of this process
+	others  func() int   // sockets in use for other purposes
+	open    atomic.Int64 // connections to workers
 }
 
 const (
-	dialTimeout = time.Second
-	// keepSockets is the part of the sockets up to which connections to workers
-	// are kept for the next command.
-	keepSockets = 0.7
-	// spareSockets stay free for the key-value store, the cloud and the peers.
-	spareSockets = 0.05
+	dialTimeout    = time.Second
+	requestTimeout = 2 * time.Second // of a request whose context has no deadline
+	// maxConnectionsPerWorker bounds the connections to one worker.
+	maxConnectionsPerWorker = 2
+	// idleConnectionTimeout is how long an unused connection is kept.
+	idleConnectionTimeout = 30 * time.Second
+	// bufferSize is that of a connection's read and write buffers, in bytes.
+	bufferSize = 2 << 10
+	// keepThreshold is the part of the sockets in use below which connections to
+	// workers are kept for the next command.
+	keepThreshold = 0.7
+	// dialThreshold is the part of the sockets in use below which connections to
+	// workers are opened: the rest stays free for the store, the cloud and the
+	// peers.
+	dialThreshold = 0.95
 )
 
-// NewClient makes a client for workers. sockets is how many the process may
-// have, others tells how many it has for all else.
+// NewClient makes a client for workers. sockets is how many sockets the process may
+// have, others returns how many it uses for other purposes.
 func NewClient(sockets int, others func() int) *Client {
 	c := &Client{sockets: sockets, others: others}
 	c.http = &fasthttp.Client{
-		MaxConnsPerHost:           2,
-		MaxIdleConnDuration:       30 * time.Second,
-		MaxIdemponentCallAttempts: 1, // a silent second try could carry a command out twice
+		MaxConnsPerHost:           maxConnectionsPerWorker,
+		MaxIdleConnDuration:       idleConnectionTimeout,
+		MaxIdemponentCallAttempts: 1, // a silent retry could carry a command out twice
 		NoDefaultUserAgentHeader:  true,
-		ReadBufferSize:            2 << 10,
-		WriteBufferSize:           2 << 10,
+		ReadBufferSize:            bufferSize,
+		WriteBufferSize:           bufferSize,
 		DialTimeout:               c.dial,
 	}
 	return c
 }
 
-func (c *Client) below(part float64) bool {
+// socketsBelow reports whether less than a part of the sockets are in use.
+func (c *Client) socketsBelow(part float64) bool {
 	return float64(c.open.Load())+float64(c.others()) < part*float64(c.sockets)
 }
 
-// Trim closes the connections that wait for a next command once sockets run
-// short: a takeover opens one to each worker, and then theirs come.
+// Trim closes idle connections once sockets run short: a takeover opens one to each
+// worker, and then the workers open theirs.
 func (c *Client) Trim() {
-	if !c.below(keepSockets) {
+	if !c.socketsBelow(keepThreshold) {
 		c.http.CloseIdleConnections()
 	}
 }
 
+// dial opens a connection that is counted until it is closed.
 func (c *Client) dial(addr string, timeout time.Duration) (net.Conn, error) {
-	if !c.below(1 - spareSockets) {
+	if !c.socketsBelow(dialThreshold) {
 		c.http.CloseIdleConnections()
 		return nil, ErrNoSocket
 	}
@@ -83,7 +96,7 @@
 	return &countedConn{Conn: conn, open: &c.open}, nil
 }
 
-// countedConn takes itself off the count when it is closed.
+// countedConn is a connection that leaves the count when it is closed.
 type countedConn struct {
 	net.Conn
 	open *atomic.Int64
@@ -96,19 +109,20 @@
 	return c.Conn.Close()
 }
 
-// Command sends commands and returns the worker's heartbeat after them. A 409
-// carries a heartbeat too: nothing was executed.
+// Command sends commands to the worker at address and returns its heartbeat after
+// them. The heartbeat of a worker that rejected them (HTTP 409) shows its higher
+// token or other incarnation.
 func (c *Client) Command(ctx context.Context, address string, req *wire.CommandRequest) (*wire.Heartbeat, error) {
 	body, err := json.Marshal(req)
 	if err != nil {
 		return nil, fmt.Errorf("encoding commands: %w", err)
 	}
-	return c.do(ctx, "POST", "http://"+address+wire.PathCommands, body)
+	return c.do(ctx, http.MethodPost, "http://"+address+wire.PathCommands, body)
 }
 
-// Status asks a worker for its heartbeat.
+// Status asks the worker at address for its heartbeat.
 func (c *Client) Status(ctx context.Context, address string) (*wire.Heartbeat, error) {
-	return c.do(ctx, "GET", "http://"+address+wire.PathStatus, nil)
+	return c.do(ctx, http.MethodGet, "http://"+address+wire.PathStatus, nil)
 }
 
 func (c *Client) do(ctx context.Context, method, url string, body []byte) (*wire.Heartbeat, error) {
@@ -117,7 +131,7 @@
 	defer fasthttp.ReleaseResponse(resp)
 	req.SetRequestURI(url)
 	req.Header.SetMethod(method)
-	if !c.below(keepSockets) {
+	if !c.socketsBelow(keepThreshold) {
 		req.SetConnectionClose()
 	}
 	if body != nil {
@@ -126,17 +140,17 @@
 	}
 	deadline, ok := ctx.Deadline()
 	if !ok {
-		deadline = time.Now().Add(2 * time.Second)
+		deadline = time.Now().Add(requestTimeout)
 	}
 	if err := c.http.DoDeadline(req, resp, deadline); err != nil {
 		return nil, fmt.Errorf("%s %s: %w", method, url, err)
 	}
-	if status := resp.StatusCode(); status != 200 && status != 409 {
+	if status := resp.StatusCode(); status != http.StatusOK && status != http.StatusConflict {
 		return nil, fmt.Errorf("%s %s: status %d", method, url, status)
 	}
-	var report wire.Heartbeat
-	if err := json.Unmarshal(resp.Body(), &report); err != nil {
+	var heartbeat wire.Heartbeat
+	if err := json.Unmarshal(resp.Body(), &heartbeat); err != nil {
 		return nil, fmt.Errorf("%s %s: %w", method, url, err)
 	}
-	return &report, nil
+	return &heartbeat, nil
 }
