--- a/cmd/heronwick/duties.go
+++ b/cmd/heronwick/duties.go
@@ -23,13 +23,27 @@
 func newDuties(c *controller) duties {
 	d := duties{ledger: duty.NewLedger(c.log), history: duty.NewHistory()}
 	d.keeper = duty.NewKeeper(duty.KeeperOptions{
-		Node: c.settings.Node, Incarnation: rand.Uint64(), Lease: c.settings.DutyLease, Store: c.client, Ledger: d.ledger,
-		Ready: func() bool { return c.members.Supports(cluster.LevelDuties) }, Membership: c.dutyMembership,
-		MaxChanges: c.settings.TxnOps, History: d.history, Log: c.log,
+		Node:        c.settings.Node,
+		Incarnation: rand.Uint64(),
+		Lease:       c.settings.DutyLease,
+		Store:       c.client,
+		Ledger:      d.ledger,
+		Ready:       func() bool { return c.members.Supports(cluster.LevelDuties) },
+		Membership:  c.dutyMembership,
+		MaxChanges:  c.settings.TxnOps,
+		History:     d.history,
+		Log:         c.log,
 	})
 	d.actions = duty.NewActions(duty.ActionsOptions{
-		Node: c.settings.Node, Provider: c.external.cloud, Keeper: d.keeper, Ledger: d.ledger, Committer: c.committer,
-		Membership: c.dutyMembership, ValueBytes: c.settings.ValueBytes, History: d.history, Log: c.log,
+		Node:       c.settings.Node,
+		Provider:   c.external.cloud,
+		Keeper:     d.keeper,
+		Ledger:     d.ledger,
+		Committer:  c.committer,
+		Membership: c.dutyMembership,
+		ValueBytes: c.settings.ValueBytes,
+		History:    d.history,
+		Log:        c.log,
 	})
 	return d
 }
@@ -38,14 +52,19 @@
 // need them.
 func (c *controller) dutyMembership() duty.Membership {
 	epoch, condition, leads, member := c.members.View()
-	m := duty.Membership{Epoch: condition, Leads: leads && member, Members: map[string]uint64{}, Fresh: c.members.Fresh()}
-	for node, of := range epoch.Members {
-		m.Members[node] = of.Since
+	membership := duty.Membership{
+		Epoch:   condition,
+		Leads:   leads && member,
+		Members: map[string]uint64{},
+		Fresh:   c.members.Fresh(),
+	}
+	for node, record := range epoch.Members {
+		membership.Members[node] = record.Since
 	}
 	if member {
-		m.Since = m.Members[c.settings.Node]
+		membership.Since = membership.Members[c.settings.Node]
 	}
-	return m
+	return membership
 }
 
 // cleanupConditions returns the conditions under which this controller may remove
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"math"
 	"strings"
 	"testing"
@@ -88,6 +89,10 @@
 	if err == nil {
 		t.Fatal("wrong settings were taken")
 	}
+	var wrong *KeyError
+	if !errors.As(err, &wrong) || wrong.Key != "node" {
+		t.Errorf("the first wrong key is %+v, want node", wrong)
+	}
 	for _, key := range []string{"node is missing", "cluster.workers.lease_s", "cluster.state.txn_ops is missing", "cluster.size", "outside.state"} {
 		if !strings.Contains(err.Error(), key) {
 			t.Errorf("error does not name %q:\n%v", key, err)
--- a/internal/server/jobs.go
+++ b/internal/server/jobs.go
@@ -144,9 +144,12 @@
 	s.withJob(request, id, changeTimeout, s.opts.Jobs.Cancel)
 }
 
+// jobAction does something about a job, if there is such a job, and returns its
+// status.
+type jobAction func(ctx context.Context, id string) (status wire.JobStatus, found bool, err error)
+
 // withJob calls action for a job and answers with the status that it returns.
-func (s *Server) withJob(request *fasthttp.RequestCtx, id string, timeout time.Duration,
-	action func(ctx context.Context, id string) (status wire.JobStatus, found bool, err error)) {
+func (s *Server) withJob(request *fasthttp.RequestCtx, id string, timeout time.Duration, action jobAction) {
 	if !wire.ValidJobID(id) {
 		s.respondError(request, fasthttp.StatusNotFound, errNoSuchJob)
 		return
