--- a/internal/autoscale/returner.go
+++ b/internal/autoscale/returner.go
@@ -43,9 +43,9 @@
 // ReturnActions records returns before they are sent, and sends them;
 // *duty.Actions does.
 type ReturnActions interface {
-	Condemn(ctx context.Context, id duty.ID, fence state.FencingCondition, machines []string, why string) (duty.Condemnation, error)
-	GiveBack(ctx context.Context, intent duty.Condemnation) error
-	GiveBackUnrecorded(ctx context.Context, id duty.ID, machines []string) error
+	RecordReturn(ctx context.Context, id duty.ID, fence state.FencingCondition, machines []string, why string) (duty.ReturnIntent, error)
+	SendReturn(ctx context.Context, intent duty.ReturnIntent) error
+	SendUnrecordedReturn(ctx context.Context, id duty.ID, machines []string) error
 }
 
 // Return is a set of machines to return together, under a duty and on the
@@ -101,9 +101,9 @@
 		recording, cancel = context.WithTimeout(ctx, overdueRecordTime)
 		defer cancel()
 	}
-	intent, err := r.Actions.Condemn(recording, ret.Duty, ret.Fence, ret.Machines, string(ret.Reason))
+	intent, err := r.Actions.RecordReturn(recording, ret.Duty, ret.Fence, ret.Machines, string(ret.Reason))
 	if err != nil && overdue {
-		return func(ctx context.Context) error { return r.Actions.GiveBackUnrecorded(ctx, ret.Duty, ret.Machines) }, nil
+		return func(ctx context.Context) error { return r.Actions.SendUnrecordedReturn(ctx, ret.Duty, ret.Machines) }, nil
 	}
-	return func(ctx context.Context) error { return r.Actions.GiveBack(ctx, intent) }, err
+	return func(ctx context.Context) error { return r.Actions.SendReturn(ctx, intent) }, err
 }
--- a/internal/duty/intents.go
+++ b/internal/duty/intents.go
@@ -24,8 +24,8 @@
 	version  uint64
 }
 
-// Condemned tells whether an open intent returns a machine: no controller may place on it.
-func (l *Ledger) Condemned(machine string) bool {
+// HasReturnIntent tells whether an open intent returns a machine: no controller may place on it.
+func (l *Ledger) HasReturnIntent(machine string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.machines[machine] != ""
--- a/internal/duty/rentals.go
+++ b/internal/duty/rentals.go
@@ -63,14 +63,14 @@
 		return nil, fmt.Errorf("%w: renting %s", ErrNoIntent, req.Request)
 	}
 	began := time.Now()
-	names, err := a.sendRent(ctx, guard, req)
+	names, err := a.rentMachines(ctx, guard, req)
 	if !guard.unfenced && (err == nil || errors.Is(err, cloud.ErrNoCapacity)) {
 		a.recordEvent(EventRented, guard.id, wire.DutyEvent{Token: guard.token, Count: len(names), TookS: time.Since(began).Seconds()})
 	}
 	return names, err
 }
 
-func (a *Actions) sendRent(ctx context.Context, guard Guard, req wire.RentRequest) ([]string, error) {
+func (a *Actions) rentMachines(ctx context.Context, guard Guard, req wire.RentRequest) ([]string, error) {
 	if p, ok := a.opts.Provider.(FencingProvider); ok && !guard.unfenced {
 		return p.RentFenced(ctx, guard.token, req)
 	}
--- a/internal/failovertest/node.go
+++ b/internal/failovertest/node.go
@@ -206,7 +206,7 @@
 		n.reclaim(ctx, []string{machine})
 	}
 	guard, refused := n.actions.Guard(reclaimDuty)
-	if returnIdle || refused != nil || err != nil && !idle || n.actions.Condemned(machine) {
+	if returnIdle || refused != nil || err != nil && !idle || n.actions.HasReturnIntent(machine) {
 		return
 	}
 	change := wire.Change{Delete: key}
@@ -221,11 +221,11 @@
 
 // reclaim records the return of machines and repeats it until it is answered.
 func (n *Node) reclaim(ctx context.Context, machines []string) {
-	intent, err := n.actions.Condemn(ctx, reclaimDuty, n.fence(), machines, "idle")
+	intent, err := n.actions.RecordReturn(ctx, reclaimDuty, n.fence(), machines, "idle")
 	if err != nil {
 		return
 	}
-	for n.actions.GiveBack(ctx, intent) != nil && wait.Sleep(ctx, returnRetryInterval) {
+	for n.actions.SendReturn(ctx, intent) != nil && wait.Sleep(ctx, returnRetryInterval) {
 		continue
 	}
 }
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -65,7 +65,7 @@
 	defer s.mu.Unlock()
 	var failed []string
 	for _, lm := range machines {
-		if s.isReleasedLocked(lm.ID) || s.opts.Actions.Condemned(lm.ID) {
+		if s.isReleasedLocked(lm.ID) || s.opts.Actions.HasReturnIntent(lm.ID) {
 			continue
 		}
 		if node, owned := s.opts.Authority.HeartbeatTarget(lm.ID); owned && node != s.opts.Node {
@@ -232,7 +232,7 @@
 		s.log.Info("rental not filled", "type", req.Type, "zone", req.Zone, "spot", req.Spot, "asked", req.Count, "got", len(names), "err", err)
 	}
 	for _, name := range names {
-		if s.machines[name] == nil && !s.isReleasedLocked(name) && !s.opts.Actions.Condemned(name) {
+		if s.machines[name] == nil && !s.isReleasedLocked(name) && !s.opts.Actions.HasReturnIntent(name) {
 			s.inventory.Expect(name, place, now, now)
 		}
 	}
--- a/internal/scheduler/returns.go
+++ b/internal/scheduler/returns.go
@@ -57,7 +57,7 @@
 			continue
 		}
 		names = append(names, m.Name)
-		if s.opts.Actions.MaxCondemned(names) < len(names) {
+		if s.opts.Actions.MaxReturnMachines(names) < len(names) {
 			return names[:len(names)-1]
 		}
 		m.returning = true
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -245,7 +245,7 @@
 	m := &machine{Worker: detector.NewWorker(fm, now), record: checkpoint.Machine{Machine: fm}, failedJobs: map[string]bool{}, idleSince: now}
 	m.Type = s.types[m.TypeName]
 	m.base, m.fence = s.epoch.Token, s.epoch.Token
-	m.returnIntent = s.opts.Actions.Condemned(m.Name)
+	m.returnIntent = s.opts.Actions.HasReturnIntent(m.Name)
 	s.machines[m.Name] = m
 	s.inventory.Joined(m.Name)
 	delete(s.answeredEarly, m.Name)
