--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -29,8 +29,8 @@
 // shardPrefix precedes the node's name in the scope of a shard.
 const shardPrefix = "share-"
 
-// Share returns the scope of the shard that belongs to a node.
-func Share(node string) Scope { return Scope(shardPrefix + node) }
+// Shard returns the scope of the shard that belongs to a node.
+func Shard(node string) Scope { return Scope(shardPrefix + node) }
 
 // ID identifies a duty.
 type ID struct {
--- a/internal/duty/keeper.go
+++ b/internal/duty/keeper.go
@@ -124,7 +124,7 @@
 	if m.Since == 0 {
 		return nil
 	}
-	ids := []ID{{Return, Share(k.opts.Node)}, {Cleanup, Share(k.opts.Node)}}
+	ids := []ID{{Return, Shard(k.opts.Node)}, {Cleanup, Shard(k.opts.Node)}}
 	if m.Leads {
 		ids = append(ids, ID{Rent, Fleet}, ID{Reclaim, Fleet}, ID{Cleanup, Fleet})
 	}
--- a/internal/failovertest/node.go
+++ b/internal/failovertest/node.go
@@ -175,7 +175,7 @@
 
 // step completes what earlier holders have begun, and then takes one action at random.
 func (n *Node) step(ctx context.Context) {
-	n.actions.CloseReturns(ctx, duty.ID{Name: duty.Cleanup, Scope: duty.Share(n.opts.Name)}, func(string) bool { return true })
+	n.actions.CloseReturns(ctx, duty.ID{Name: duty.Cleanup, Scope: duty.Shard(n.opts.Name)}, func(string) bool { return true })
 	if !n.membership().Leads {
 		return
 	}
--- a/internal/scheduler/returns.go
+++ b/internal/scheduler/returns.go
@@ -20,7 +20,7 @@
 // returnLocked returns machines of this scheduler to the cloud. When the cloud
 // says so, they and all that was on them are gone.
 func (s *Scheduler) returnLocked(machines []*machine, reason autoscale.ReturnReason) {
-	s.beginReturnLocked(duty.ID{Name: duty.Return, Scope: duty.Share(s.opts.Node)}, machines, reason)
+	s.beginReturnLocked(duty.ID{Name: duty.Return, Scope: duty.Shard(s.opts.Node)}, machines, reason)
 }
 
 // reclaimLocked returns machines that may have no worker, and that no scheduler
@@ -123,7 +123,7 @@
 
 // cleanupDuty is the duty of removing this scheduler's records.
 func (s *Scheduler) cleanupDuty() duty.ID {
-	return duty.ID{Name: duty.Cleanup, Scope: duty.Share(s.opts.Node)}
+	return duty.ID{Name: duty.Cleanup, Scope: duty.Shard(s.opts.Node)}
 }
 
 // cleanupGuard returns the right to remove this scheduler's records.
