--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -21,7 +21,10 @@
 	}
 	s.resolving[id] = true
 	s.goDo(func(ctx context.Context) {
-		for !s.resolveJob(ctx, id) && wait.Sleep(ctx, resolveRetry) {
+		for !s.resolveJob(ctx, id) {
+			if !wait.Sleep(ctx, resolveRetry) {
+				return
+			}
 		}
 	})
 }
