--- a/cmd/failovertest/main.go
+++ b/cmd/failovertest/main.go
@@ -18,8 +18,8 @@
 
 // arguments are the commands of the command line.
 type arguments struct {
-	Run  runCommand  `cmd:"" default:"withargs" help:"Force handovers and tell what was accepted (the default)."`
-	Node nodeCommand `cmd:"" name:"member" hidden:"" help:"One controller; started by the other command."`
+	Run  runCommand  `cmd:"" default:"withargs" help:"Force handovers and report which actions were accepted (the default)."`
+	Node nodeCommand `cmd:"" name:"member" hidden:"" help:"Run one controller; started by the other command."`
 }
 
 // runCommand forces handovers.
@@ -28,8 +28,8 @@
 	Groups    int           `help:"Groups of three controllers that run side by side." default:"8"`
 	Lease     time.Duration `help:"Lease of the duties." default:"1s"`
 	Pace      time.Duration `help:"Time between two actions of a controller." default:"20ms"`
-	Seed      uint64        `help:"Chooses holders, points, and what becomes of requests." default:"1"`
-	Unfenced  bool          `help:"Duties off: what they are there for."`
+	Seed      uint64        `help:"Seed for the choice of holders, freeze points and faults." default:"1"`
+	Unfenced  bool          `help:"Turn duties off, to show what they prevent."`
 }
 
 const (
--- a/internal/duty/rentals.go
+++ b/internal/duty/rentals.go
@@ -33,7 +33,8 @@
 func (a *Actions) OpenRentals() []OpenRental { return a.opts.Ledger.openRentals() }
 
 // RecordRentals records requests before they are sent, as many of them as fit one intent.
-// With duties off it records nothing and returns an intent of all requests.
+// With duties off it records nothing and returns an intent of all requests. It returns an
+// error of Guard.Check, ErrIntentTooLarge or that of the write.
 func (a *Actions) RecordRentals(ctx context.Context, guard Guard, fence state.FencingCondition, requests []wire.RentRequest) (OpenRental, error) {
 	if guard.unfenced || len(requests) == 0 {
 		return OpenRental{Requests: requests}, nil
@@ -70,6 +71,7 @@
 	return names, err
 }
 
+// rentMachines sends a rental, with its token if the Provider checks tokens.
 func (a *Actions) rentMachines(ctx context.Context, guard Guard, req wire.RentRequest) ([]string, error) {
 	if p, ok := a.opts.Provider.(FencingProvider); ok && !guard.unfenced {
 		return p.RentFenced(ctx, guard.token, req)
--- a/internal/duty/returns.go
+++ b/internal/duty/returns.go
@@ -42,10 +42,11 @@
 	unfenced bool // duties are off
 }
 
-// RecordReturn records the intent to return machines that no open intent covers, and returns
-// the right to return all of them. From then on no controller places on them, so
-// returning them is safe at any later time. fence binds the record to the caller's view
-// of who owns the machines; reason is for operators.
+// RecordReturn records the intent to return those of the machines that no open intent
+// covers, and returns the right to return all of them. From then on no controller places
+// on them, so returning them is safe at any later time. fence binds the record to the
+// caller's view of who owns the machines; reason is for operators. It returns an error of
+// Guard.Check, ErrIntentTooLarge or that of the write.
 func (a *Actions) RecordReturn(ctx context.Context, id ID, fence state.FencingCondition, machines []string, reason string) (ReturnIntent, error) {
 	uncovered := slices.DeleteFunc(slices.Clone(machines), a.HasReturnIntent)
 	if len(uncovered) == 0 {
@@ -99,6 +100,7 @@
 	return nil
 }
 
+// returnMachines sends a return, with its token if the Provider checks tokens.
 func (a *Actions) returnMachines(ctx context.Context, intent ReturnIntent) error {
 	if p, ok := a.opts.Provider.(FencingProvider); ok && intent.token != 0 {
 		return p.ReturnFenced(ctx, intent.token, intent.machines)
@@ -106,6 +108,7 @@
 	return a.opts.Provider.Return(ctx, intent.machines)
 }
 
+// addReturned notes when machines were returned, for CloseReturns.
 func (a *Actions) addReturned(machines []string) {
 	if !a.Active() {
 		return
@@ -164,6 +167,7 @@
 	})
 }
 
+// beginClosing tells whether CloseReturns has something to do and does not run yet.
 func (a *Actions) beginClosing() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
