--- a/internal/checkpoint/journalwrite.go
+++ b/internal/checkpoint/journalwrite.go
@@ -92,7 +92,7 @@
 	bw.journal = true
 	content := w.journalContent(journal)
 	for _, m := range dirty {
-		w.scheduler.DropStaleGuests(m)
+		w.scheduler.DropStaleHosted(m)
 		m.Dirty = false
 		for _, a := range m.Attempts.All() {
 			if a.Durable || a.Exited() {
--- a/internal/checkpoint/scheduler.go
+++ b/internal/checkpoint/scheduler.go
@@ -35,9 +35,8 @@
 
 	// Job returns the record of a job that is known to be active, else nil.
 	Job(id string) *job.Record
-	// DropStaleGuests removes attempts of other schedulers' jobs that must not be
-	// recorded any more.
-	DropStaleGuests(m *Machine)
+	// DropStaleHosted removes hosted attempts that must not be recorded any more.
+	DropStaleHosted(m *Machine)
 	// Recorded tells that attempts on the machine are recorded: they may start.
 	Recorded(m *Machine)
 	// DropUnsent tells that a job is over: none of its attempts on these machines
--- a/internal/scheduler/checkpoints.go
+++ b/internal/scheduler/checkpoints.go
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// DropStaleGuests implements checkpoint.Scheduler.
-func (s checkpointScheduler) DropStaleGuests(m *checkpoint.Machine) {
+// DropStaleHosted implements checkpoint.Scheduler.
+func (s checkpointScheduler) DropStaleHosted(m *checkpoint.Machine) {
 	if owned := s.owned(m); owned != nil {
 		s.dropStaleHostedLocked(owned)
 	}
