--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -322,7 +322,9 @@
 				stored[key] = bucket
 				r.Buckets = append(r.Buckets, recovery.Bucket{RecordBucket: bucket, Key: key, Version: 3, Size: 100})
 			}
+			s.mu.Lock() // the worker is asked meanwhile
 			s.placeRecordsLocked(r, nil, map[string]bool{"wk-1": true}, time.Now())
+			s.mu.Unlock()
 			for range 3 {
 				s.mu.Lock()
 				s.tidyLocked(time.Now())
