--- /dev/null
+++ b/internal/packing/doc.go
@@ -0,0 +1,8 @@
+// Package packing finds the machines on which tasks are placed, by Move To
+// Front: the open machine that was used most recently and takes the task, else
+// an idle one. It also reserves room for the tasks of hosted jobs.
+//
+// A Packer remembers what it has found out during one pass over the queue. It
+// is not safe for concurrent use: the lock of the scheduler that owns it and
+// its machines guards it.
+package packing
--- /dev/null
+++ b/internal/packing/packer.go
@@ -0,0 +1,143 @@
+package packing
+
+import (
+	"iter"
+	"time"
+
+	"heronwick/internal/placement"
+	"heronwick/internal/queue"
+)
+
+// Fleet is what a Packer needs to know of the scheduler's machines.
+type Fleet interface {
+	// Machines yields all machines, in no order.
+	Machines() iter.Seq[*Machine]
+	// Owns tells whether a machine is still among them.
+	Owns(m *Machine) bool
+	// MaxAttempts is how many attempts a machine may have.
+	MaxAttempts() int
+}
+
+// Packer finds machines for tasks.
+type Packer struct {
+	// Open are the machines with tasks, the most recently used first.
+	Open  placement.List[*Machine]
+	fleet Fleet
+	pass  pass
+}
+
+// New returns a Packer for the machines of a fleet, none of them open.
+func New(fleet Fleet) *Packer { return &Packer{fleet: fleet} }
+
+// Fits tells whether the next task of the job may go to the machine and finds
+// room there beside what is reserved for others.
+func (p *Packer) Fits(queued *queue.Job, m *Machine, now time.Time) bool {
+	if p.observe(m, now); !m.usable || !queued.Size.Within(m.free) {
+		return false
+	}
+	return (len(m.reservations) == 0 || queued.Size.Within(p.unreserved(m, queued.Record.Job.ID, now))) && p.Allows(queued, m)
+}
+
+// Allows tells whether the next task of the job may go to the machine, whether
+// or not there is room.
+func (p *Packer) Allows(queued *queue.Job, m *Machine) bool {
+	if !placement.Allows(&queued.Record.Job, m.Place(), placement.Spread{ByZone: queued.Zones}) {
+		return false
+	}
+	if queued.Avoids(m.Name) {
+		return false
+	}
+	return m.Attempts.Len() < p.fleet.MaxAttempts()
+}
+
+func (p *Packer) fits(queued *queue.Job, now time.Time) func(*Machine) bool {
+	return func(m *Machine) bool { return p.Fits(queued, m, now) }
+}
+
+// WithImage chooses among machines that hold the job's image, which come first
+// since a fetch takes longer than all the rest of a start: the most recently
+// used one that fits, else an idle one, which it opens. A service goes to one
+// that is not half full of services before others. It returns nil if there is
+// none.
+func (p *Packer) WithImage(queued *queue.Job, now time.Time) *Machine {
+	if p.lacksRoom(queued.Size, now) {
+		return nil
+	}
+	fits := p.fits(queued, now)
+	holds := func(m *Machine) bool { return fits(m) && m.HasImage(queued.Record.Job.Image) }
+	preferred := holds
+	if queued.IsService() {
+		preferred = func(m *Machine) bool { return holds(m) && m.belowHalf(queued.Size) }
+	}
+	if m, ok := p.Open.Walk(preferred); ok {
+		return m
+	}
+	if idle := p.Idle(queued, now); idle != nil && idle.HasImage(queued.Record.Job.Image) {
+		p.Open.MoveToFront(idle)
+		return idle
+	}
+	if queued.IsService() {
+		if m, ok := p.Open.Walk(holds); ok {
+			return m
+		}
+	}
+	return nil
+}
+
+// Any chooses among all machines in the same way. Replicas stacked on one
+// machine are all lost with it, and their images are then nowhere else: as long
+// as another machine can take a replica, they fill half of one at most.
+func (p *Packer) Any(queued *queue.Job, now time.Time) *Machine {
+	if p.lacksRoom(queued.Size, now) {
+		return nil
+	}
+	fits := p.fits(queued, now)
+	idle := p.Idle(queued, now)
+	if queued.IsService() {
+		roomy := func(m *Machine) bool { return fits(m) && m.belowHalf(queued.Size) }
+		if m, ok := p.Open.Walk(roomy); ok {
+			return m
+		}
+		if idle != nil {
+			p.Open.MoveToFront(idle)
+			return idle
+		}
+	}
+	if m, ok := p.Open.Walk(fits); ok {
+		return m
+	}
+	if idle != nil {
+		p.Open.MoveToFront(idle)
+	}
+	return idle
+}
+
+// Idle returns the idle machine to open for the job, without opening it: one
+// that holds its image before others; nil if there is none.
+func (p *Packer) Idle(queued *queue.Job, now time.Time) *Machine {
+	var first *Machine
+	for _, m := range p.idleMachines(now) {
+		if p.Open.Has(m) || !p.fleet.Owns(m) || !p.Fits(queued, m, now) {
+			continue
+		}
+		if m.HasImage(queued.Record.Job.Image) {
+			return m
+		}
+		if first == nil {
+			first = m
+		}
+	}
+	return first
+}
+
+// HasRoom tells whether any machine takes a task of the job.
+func (p *Packer) HasRoom(queued *queue.Job, now time.Time) bool {
+	if p.lacksRoom(queued.Size, now) {
+		return false
+	}
+	if p.Idle(queued, now) != nil {
+		return true
+	}
+	_, ok := p.Open.Find(p.fits(queued, now))
+	return ok
+}
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -118,7 +118,7 @@
 		}
 		batch.machines = append(batch.machines, m)
 		batch.records[m.Name] = value
-		s.list.Close(m)
+		s.packer.Open.Close(m.packing)
 		s.checkpoints.Leave(&m.record)
 		delete(s.machines, m.Name)
 		s.moving[m.Name] = true
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -166,13 +166,13 @@
 // closeIfEmptyLocked takes a machine whose last task has ended off the list.
 func (s *Scheduler) closeIfEmptyLocked(m *machine) {
 	if m.ActiveCount() > 0 {
-		if !s.list.Has(m) {
-			s.list.Append(m)
+		if !s.packer.Open.Has(m.packing) {
+			s.packer.Open.Append(m.packing)
 		}
 		return
 	}
-	if s.list.Has(m) {
-		s.list.Close(m)
+	if s.packer.Open.Has(m.packing) {
+		s.packer.Open.Close(m.packing)
 		m.idleSince = time.Now()
 	}
 }
--- a/internal/scheduler/hosting.go
+++ b/internal/scheduler/hosting.go
@@ -126,7 +126,11 @@
 // handOverForGangLocked hands over an idle machine, if there is one. A gang is
 // placed in one walk by its owner, which needs machines for it, not places.
 func (s *Scheduler) handOverForGangLocked(r *jobRequest, reply *peerpb.PlaceReply, now time.Time) {
-	if idle := s.idleLocked(r.job, now); idle != nil && s.canHandOverLocked(idle, now) {
+	found := s.packer.Idle(r.job, now)
+	if found == nil {
+		return
+	}
+	if idle := s.machines[found.Name]; s.canHandOverLocked(idle, now) {
 		s.handOverLocked([]*machine{idle}, r.from)
 		reply.Given++
 	}
@@ -151,9 +155,9 @@
 	a := &fleet.Attempt{Key: remote.KeyOf(at), Job: id, Index: index, Guest: true, Epoch: s.epoch.Token}
 	s.describe(a, &r.record.Job, r.job.EffectivePriority)
 	m.Add(a, now)
-	m.looked = 0
+	m.packing.Changed()
 	m.record.Dirty = true
-	m.useReservation(id)
+	m.packing.UseReservation(id)
 	r.job.Zones[m.Zone]++
 	r.placed++
 	s.log.Debug("placed", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "image_held", m.HasImage(a.Image), "for", r.from)
@@ -180,7 +184,7 @@
 func (s *Scheduler) idleForHandoverLocked(queued *queue.Job, first *machine, now time.Time) []*machine {
 	var idle []*machine
 	for _, m := range s.machines {
-		if m != first && !s.list.Has(m) && s.canHandOverLocked(m, now) && s.fitsLocked(queued, m, now) {
+		if m != first && !s.packer.Open.Has(m.packing) && s.canHandOverLocked(m, now) && s.packer.Fits(queued, m.packing, now) {
 			idle = append(idle, m)
 		}
 	}
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -21,7 +21,7 @@
 // removeReleasedLocked removes a machine that was released to the cloud.
 func (s *Scheduler) removeReleasedLocked(m *machine) {
 	s.handleLocked(m, m.MarkReleased())
-	s.list.Close(m)
+	s.packer.Open.Close(m.packing)
 	s.checkpoints.Leave(&m.record)
 	delete(s.machines, m.Name)
 	if _, named := s.opts.Authority.OwnerOf(m.Name); named {
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"heronwick/internal/fleet"
-	"heronwick/internal/placement"
 	"heronwick/internal/queue"
 	"heronwick/wire"
 )
@@ -60,12 +59,11 @@
 // the next try at once, for as long as the gang waits.
 func (s *Scheduler) freeBookingsLocked(booked []gangBooking) {
 	if len(booked) > 0 { // there is more room again
-		clear(s.pass.full)
-		clear(s.pass.lacks)
+		s.packer.RoomFreed()
 	}
 	for _, b := range slices.Backward(booked) {
 		b.machine.Attempts.Delete(b.attempt.Key)
-		b.machine.looked = 0
+		b.machine.packing.Changed()
 		b.machine.record.Dirty = b.wasDirty
 		s.releaseAttemptLocked(b.attempt)
 		s.closeIfEmptyLocked(b.machine)
@@ -89,8 +87,7 @@
 			return
 		}
 		var m *machine
-		class, plain := placementClassOf(queued)
-		if full := plain && s.pass.full[class] || s.lacksRoomLocked(queued.Size, now); !full || queued.IsService() {
+		if full := s.packer.Full(queued, now); !full || queued.IsService() {
 			var wait bool
 			m, wait = s.findWithImageLocked(queued, now, s.teams.Guaranteed(queued))
 			if wait || m == nil && s.awaitImageLocked(queued, now) {
@@ -100,16 +97,14 @@
 			case m != nil:
 				queued.DeferredSince = time.Time{}
 			case full:
-			case withImage && s.hasRoomLocked(queued, now) && s.defersFetchLocked(queued, now):
+			case withImage && s.packer.HasRoom(queued, now) && s.defersFetchLocked(queued, now):
 				return
 			default:
 				m = s.findAnyLocked(queued, now)
 			}
 		}
 		if m == nil {
-			if plain {
-				s.pass.full[class] = true
-			}
+			s.packer.SetFull(queued)
 			if queued.UnplacedSince.IsZero() {
 				queued.UnplacedSince = now
 			}
@@ -121,80 +116,22 @@
 	}
 }
 
-func (s *Scheduler) fits(queued *queue.Job, now time.Time) func(*machine) bool {
-	return func(m *machine) bool { return s.fitsLocked(queued, m, now) }
-}
-
-// findWithImageLocked chooses among machines that hold the image, which come first
-// since a fetch takes longer than all the rest of a start: the most recently
-// used one that fits, else an idle one, which it opens. For a service, room is
-// made on one of those before another machine fetches the image; wait tells
-// that this is under way.
+// findWithImageLocked opens or finds a machine for the job that holds its image.
+// For a service, room is made on one of those before another machine fetches
+// the image; wait tells that this is under way.
 func (s *Scheduler) findWithImageLocked(queued *queue.Job, now time.Time, guaranteed bool) (m *machine, wait bool) {
-	if s.lacksRoomLocked(queued.Size, now) {
-		return nil, queued.IsService() && s.preemptLocked(queued, now, true, guaranteed)
-	}
-	fits := s.fits(queued, now)
-	holds := func(m *machine) bool { return fits(m) && m.HasImage(queued.Record.Job.Image) }
-	service := queued.Record.Job.Kind == wire.KindService
-	first := holds
-	if service {
-		first = func(m *machine) bool { return holds(m) && s.belowHalfLocked(queued, m) }
-	}
-	if m, ok := s.list.Walk(first); ok {
-		return m, false
+	if found := s.packer.WithImage(queued, now); found != nil {
+		return s.machines[found.Name], false
 	}
-	if idle := s.idleLocked(queued, now); idle != nil && idle.HasImage(queued.Record.Job.Image) {
-		s.list.MoveToFront(idle)
-		return idle, false
-	}
-	if !service {
-		return nil, false
-	}
-	if m, ok := s.list.Walk(holds); ok {
-		return m, false
-	}
-	return nil, s.preemptLocked(queued, now, true, guaranteed)
+	return nil, queued.IsService() && s.preemptLocked(queued, now, true, guaranteed)
 }
 
-// findAnyLocked chooses among all machines in the same way. Replicas stacked on one machine
-// are all lost with it, and their images are then nowhere else: as long as
-// another machine can take a replica, they fill half of one at most.
+// findAnyLocked opens or finds a machine for the job, whatever images it holds.
 func (s *Scheduler) findAnyLocked(queued *queue.Job, now time.Time) *machine {
-	if s.lacksRoomLocked(queued.Size, now) {
-		return nil
-	}
-	fits := s.fits(queued, now)
-	idle := s.idleLocked(queued, now)
-	if queued.Record.Job.Kind == wire.KindService {
-		roomy := func(m *machine) bool { return fits(m) && s.belowHalfLocked(queued, m) }
-		if m, ok := s.list.Walk(roomy); ok {
-			return m
-		}
-		if idle != nil {
-			s.list.MoveToFront(idle)
-			return idle
-		}
-	}
-	if m, ok := s.list.Walk(fits); ok {
-		return m
-	}
-	if idle != nil {
-		s.list.MoveToFront(idle)
-	}
-	return idle
-}
-
-// hasRoomLocked tells whether any machine takes a task of the job.
-func (s *Scheduler) hasRoomLocked(queued *queue.Job, now time.Time) bool {
-	if s.lacksRoomLocked(queued.Size, now) {
-		return false
+	if found := s.packer.Any(queued, now); found != nil {
+		return s.machines[found.Name]
 	}
-	if s.idleLocked(queued, now) != nil {
-		return true
-	}
-	_, ok := s.list.Find(s.fits(queued, now))
-	return ok
+	return nil
 }
 
 // imageWaitTimeout is how long a service's task waits for the other schedulers to say
@@ -214,21 +151,6 @@
 	return now.Sub(queued.ImageWaitSince) < imageWaitTimeout
 }
 
-// belowHalfLocked tells whether one more replica leaves services on at most
-// half of the machine.
-func (s *Scheduler) belowHalfLocked(queued *queue.Job, m *machine) bool {
-	if m == nil || m.Type == nil {
-		return false
-	}
-	sum := queued.Size
-	for _, a := range m.Attempts.All() {
-		if a.Service && !a.Exited() {
-			sum = sum.Plus(a.Size)
-		}
-	}
-	return sum.Within(placement.Capacity(m.Type).Times(0.5))
-}
-
 // acceptsLocked tells whether new tasks may go to the machine, if there is room.
 func (s *Scheduler) acceptsLocked(m *machine, now time.Time) bool {
 	return s.synced(m) && m.Type != nil && !m.returning && !m.returnIntent && !m.quarantined && m.Responsive() &&
@@ -244,29 +166,12 @@
 	return sized
 }
 
-func (s *Scheduler) fitsLocked(queued *queue.Job, m *machine, now time.Time) bool {
-	if s.lookLocked(m, now); !m.usable || !queued.Size.Within(m.free) {
-		return false
-	}
-	return (len(m.reservations) == 0 || queued.Size.Within(s.unreservedLocked(m, queued.Record.Job.ID, now))) && s.allowedLocked(queued, m)
-}
-
-func (s *Scheduler) allowedLocked(queued *queue.Job, m *machine) bool {
-	if !placement.Allows(&queued.Record.Job, m.Place(), placement.Spread{ByZone: queued.Zones}) {
-		return false
-	}
-	if queued.Avoids(m.Name) {
-		return false
-	}
-	return m.Attempts.Len() < s.valueLimit.MaxAttempts()
-}
-
 // placeLocked books a task on a machine. The attempt's number rises with each
 // placement, across controllers and restarts, since tokens do.
 func (s *Scheduler) placeLocked(queued *queue.Job, index int, m *machine, now time.Time) *fleet.Attempt {
 	a := s.newAttempt(queued, index)
 	m.Add(a, now)
-	m.looked = 0
+	m.packing.Changed()
 	s.countAttemptLocked(m.Zone, a)
 	m.record.Dirty = true
 	s.log.Debug("placed", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "image_held", m.HasImage(a.Image))
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -18,6 +18,35 @@
 	preemptAgainAfter = 2 * time.Second
 )
 
+// victimSummary is what one pass over the queue has found out about the tasks
+// that may be stopped.
+type victimSummary struct {
+	known          bool // whether it was looked for
+	lowestRank     int  // the highest number, of the lowest priority
+	aboveGuarantee bool // whether any team is above its guarantee
+}
+
+// mayPreemptAnyLocked tells whether there can be any task that the job may
+// have stopped: looking for the best on every machine takes long.
+func (s *Scheduler) mayPreemptAnyLocked(queued *queue.Job, guaranteed bool) bool {
+	if !s.victims.known {
+		s.victims = s.summarizeVictimsLocked()
+	}
+	return queued.EffectivePriority < s.victims.lowestRank || guaranteed && s.victims.aboveGuarantee
+}
+
+func (s *Scheduler) summarizeVictimsLocked() victimSummary {
+	summary := victimSummary{known: true, aboveGuarantee: s.teams.AnyAboveGuarantee()}
+	for _, m := range s.machines {
+		for _, a := range m.Attempts.All() {
+			if !a.Exited() && !a.Stop {
+				summary.lowestRank = max(summary.lowestRank, a.Rank)
+			}
+		}
+	}
+	return summary
+}
+
 // preemptLocked stops tasks to make room for one task of the job, as far as
 // the rules of preemption permit, on the machine where that loses least; if
 // so asked, only on machines that hold the job's image. It tells whether room
@@ -53,7 +82,7 @@
 func (s *Scheduler) preemptionMachinesLocked(queued *queue.Job, held bool, now time.Time) iter.Seq[*fleet.Machine] {
 	return func(yield func(*fleet.Machine) bool) {
 		for _, m := range s.machines {
-			if held && !m.HasImage(queued.Record.Job.Image) || !s.usableLocked(m, now) || !s.allowedLocked(queued, m) {
+			if held && !m.HasImage(queued.Record.Job.Image) || !s.usableLocked(m, now) || !s.packer.Allows(queued, m.packing) {
 				continue
 			}
 			if !yield(m.Machine) {
@@ -68,7 +97,7 @@
 func (s *Scheduler) carryOutPreemptionLocked(queued *queue.Job, plan *preemption.Plan, now time.Time) {
 	m := s.machines[plan.Machine.Name]
 	if queued.Hosted {
-		m.reservations = append(m.reservations, reservation{job: queued.Record.Job.ID, size: queued.Size, until: now.Add(reservationTimeout)})
+		m.packing.Reserve(queued.Record.Job.ID, queued.Size, now)
 	}
 	for _, a := range plan.Victims {
 		s.log.Info("preempting", "task", a.Task, "machine", m.Name, "for", queued.Record.Job.ID)
@@ -88,3 +117,10 @@
 	}
 	return false
 }
+
+func boolInt(b bool) int {
+	if b {
+		return 1
+	}
+	return 0
+}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -21,7 +21,7 @@
 	"heronwick/internal/duty"
 	"heronwick/internal/fleet"
 	"heronwick/internal/job"
-	"heronwick/internal/placement"
+	"heronwick/internal/packing"
 	"heronwick/internal/queue"
 	"heronwick/internal/remote"
 	"heronwick/internal/state"
@@ -121,17 +121,14 @@
 	record       checkpoint.Machine // what is recorded of it
 	sending      bool               // a direct command is under way
 	sendAgain    bool
-	usable       bool
-	free         placement.Resources
-	looked       uint64 // the pass that found whether it is usable and what is free
 	returning    bool
 	returnIntent bool      // an owner before has recorded that it is to be returned
 	quarantined  bool      // fails what it starts: no new placements
 	returnAgain  time.Time // not before then, since the last try was refused
 	failedJobs   map[string]bool
 	idleSince    time.Time
-	cooling      time.Time // no placements before then
-	reservations []reservation
+	cooling      time.Time        // no placements before then
+	packing      *packing.Machine // what is known of its room
 
 	base  uint64 // heartbeats under older tokens do not settle its record
 	fence uint64 // nobody else answers its worker once epochs before this are fenced; 0: nobody does
@@ -172,8 +169,9 @@
 	takeover          takeover
 	probeRate         *rate.Limiter
 	detector          *detector.Detector
-	list              placement.List[*machine]
-	pass              schedulingPass
+	packer            *packing.Packer
+	victims           victimSummary
+	fetchDeferred     bool // a job of the turn that is being served leaves room to others
 	numbers           attemptNumbers
 	inventory         *autoscale.Inventory
 	planner           *autoscale.Planner // shares types and inventory
@@ -208,6 +206,7 @@
 		moving: map[string]bool{},
 	}
 	s.valueLimit = checkpoint.NewValueLimit(opts.Settings, opts.Log)
+	s.packer = packing.New(packingFleet{s})
 	s.planner = &autoscale.Planner{Types: s.types, Inventory: s.inventory}
 	s.checkpoints = s.newCheckpointWriter()
 	s.detector = detector.New(detector.Settings{HeartbeatInterval: opts.Settings.ReportEvery, LeaseDuration: opts.Settings.LeaseFor,
@@ -243,6 +242,7 @@
 
 func (s *Scheduler) addMachineLocked(fm *fleet.Machine, now time.Time) *machine {
 	m := &machine{Worker: detector.NewWorker(fm, now), record: checkpoint.Machine{Machine: fm}, failedJobs: map[string]bool{}, idleSince: now}
+	m.packing = packing.NewMachine(fm, func(now time.Time) bool { return s.acceptsLocked(m, now) })
 	m.Type = s.types[m.TypeName]
 	m.base, m.fence = s.epoch.Token, s.epoch.Token
 	m.returnIntent = s.opts.Actions.HasReturnIntent(m.Name)
--- a/internal/scheduler/serve.go
+++ b/internal/scheduler/serve.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"heronwick/internal/packing"
 	"heronwick/internal/queue"
 	"heronwick/wire"
 )
@@ -21,7 +22,7 @@
 	// Hosted jobs take their turn: what they want is kept free until their owner
 	// asks again.
 	for _, hosted := range s.hostedJobs {
-		if hosted.OwnerUnplaced > 0 && now.Sub(hosted.OwnerAskedAt) < reservationTimeout {
+		if hosted.OwnerUnplaced > 0 && now.Sub(hosted.OwnerAskedAt) < packing.ReservationTimeout {
 			waiting = append(waiting, hosted)
 		}
 	}
@@ -37,6 +38,13 @@
 	}
 }
 
+// beginPassLocked forgets what the last pass over the queue has found.
+func (s *Scheduler) beginPassLocked() {
+	s.packer.BeginPass()
+	s.victims = victimSummary{}
+	s.fetchDeferred = false
+}
+
 // eligibleJobsLocked returns the scheduler's own jobs with tasks that may be
 // placed now.
 func (s *Scheduler) eligibleJobsLocked(now time.Time) (eligible []*queue.Job) {
@@ -57,7 +65,7 @@
 // serveTurnLocked serves jobs that differ only in the work that is left: freed
 // room first goes to whom it saves a fetch, then to any, in order.
 func (s *Scheduler) serveTurnLocked(turn []queue.Entry, now time.Time) {
-	s.pass.deferred = false
+	s.fetchDeferred = false
 	for _, entry := range turn {
 		s.serveLocked(entry.Job, now, true)
 	}
@@ -71,7 +79,7 @@
 func (s *Scheduler) serveLocked(queued *queue.Job, now time.Time, withImage bool) {
 	switch {
 	case queued.Hosted:
-		s.reserveLocked(queued, now, withImage)
+		s.packer.Reserve(queued, maxRequestTasksPerJob, withImage, now)
 	case queued.Record.Job.Kind == wire.KindArray:
 		s.placeJobLocked(queued, now, withImage)
 	case !withImage:
@@ -91,7 +99,7 @@
 		queued.DeferredSince = now
 	}
 	if now.Sub(queued.DeferredSince) <= queued.ImageFetchTime {
-		s.pass.deferred = true
+		s.fetchDeferred = true
 	}
-	return s.pass.deferred
+	return s.fetchDeferred
 }
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -12,7 +12,7 @@
 	usable, open, tasks, waiting, notReady := 0, 0, 0, 0, 0
 	for _, m := range s.machines {
 		tasks += m.ActiveCount()
-		if s.list.Has(m) {
+		if s.packer.Open.Has(m.packing) {
 			open++
 		}
 		if s.usableLocked(m, now) {
