--- a/internal/job/graph.go
+++ b/internal/job/graph.go
@@ -1,165 +1,100 @@
 package job
 
 import (
-	"maps"
 	"slices"
 	"time"
 )
 
-// EffectivePriority is what decides how soon a job is served: its own priority and deadline,
-// or those of a job that needs it, where they are higher or earlier.
-type EffectivePriority struct {
-	Rank int       // of the priority, 0 being the highest
-	Due  time.Time // by when the job has to be done; zero: it has no deadline
-}
-
-// raise makes the order as urgent as another one, and tells whether that changed
-// anything.
-func (o *EffectivePriority) raise(rank int, due time.Time) bool {
-	before := *o
-	o.Rank = min(o.Rank, rank)
-	if !due.IsZero() && (o.Due.IsZero() || due.Before(o.Due)) {
-		o.Due = due
-	}
-	return *o != before
+// graph holds the dependencies of the active jobs. A job depends only on jobs that
+// were accepted before it, so there are no cycles. Each change costs what it reaches,
+// and none recurses, so that long paths do not deepen the stack. Its owner's lock
+// guards it.
+type graph struct {
+	vertices map[string]*vertex // by job
+	over     int                // vertices of jobs that are over
+	// missing holds, by job that is not in the graph, the vertices that depend on it.
+	missing map[string]map[string]*vertex
 }
 
-// Readiness is what a job's place in its dependency graph says of it.
-type Readiness struct {
-	EffectivePriority
-	// Ready: all jobs that it needs are done, which the store has.
-	Ready bool
-	// ReadyAt is when the last of them ended; zero: it needs none.
-	ReadyAt time.Time
-}
+// maxOver bounds the jobs that are kept after their end, for display: a path that
+// always grows would keep all that ever came before.
+const maxOver = 10_000
 
-// vertex is a job in the graph of dependencies. One that is done stays for as
-// long as a job that is not needs it.
-type vertex struct {
-	record     *Record
-	over       bool
-	unfinished map[string]bool // jobs that it needs and that are not known to be done
-	readyAt    time.Time
-	priority   EffectivePriority
-	dependents map[string]*vertex
+func newGraph() *graph {
+	return &graph{vertices: map[string]*vertex{}, missing: map[string]map[string]*vertex{}}
 }
 
-func newVertex(r *Record) *vertex {
-	v := &vertex{record: r, unfinished: map[string]bool{}, dependents: map[string]*vertex{}}
-	v.priority = v.record.ownPriority()
-	for _, id := range r.Job.Dependencies {
-		v.unfinished[id] = true
+// add adds an active job and returns the jobs whose priority that changes.
+func (g *graph) add(r *Record) (changed []string) {
+	v := newVertex(r)
+	g.vertices[v.id()] = v
+	for id, dependent := range g.missing[v.id()] {
+		v.dependents[id] = dependent
+		v.inherit(dependent)
 	}
-	return v
-}
-
-// ownPriority is the ownPriority that the job has by itself.
-func (r *Record) ownPriority() EffectivePriority {
-	o := EffectivePriority{Rank: r.Job.Priority.Rank()}
-	if r.Job.DeadlineS != nil {
-		o.Due = time.UnixMilli(r.AcceptedMs).Add(seconds(*r.Job.DeadlineS))
+	delete(g.missing, v.id())
+	for _, dependency := range v.dependencies() {
+		g.link(v, dependency)
 	}
-	return o
+	return g.spread(v)
 }
 
-// startBy is by when the job has to start to be done when it is due; zero: it has
-// no deadline.
-func (v *vertex) startBy() time.Time {
-	if v.priority.Due.IsZero() {
-		return time.Time{}
+// link makes a vertex a dependent of one of its dependencies.
+func (g *graph) link(v *vertex, dependency string) {
+	if d := g.vertices[dependency]; d != nil {
+		d.dependents[v.id()] = v
+		return
 	}
-	return v.priority.Due.Add(-v.expected())
-}
-
-// expected is about how long the job takes once it can start.
-func (v *vertex) expected() time.Duration { return seconds(v.record.Job.EstimateS) }
-
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-
-// graph holds the dependencies of the active jobs. A job names only jobs that
-// were accepted before it, so it has no cycles. Work is done for what a change
-// reaches, and no deeper call comes of a longer path. Its owner's lock guards it.
-type graph struct {
-	vertices map[string]*vertex
-	over     int // vertices of jobs that are done
-	// waiting holds, by job that is not in the graph, those that need it.
-	waiting map[string]map[string]*vertex
-}
-
-// maxOver bounds the jobs that are kept after their end, for display: a dependency path that
-// always goes on would keep all that ever came before.
-const maxOver = 10_000
-
-func newGraph() *graph {
-	return &graph{vertices: map[string]*vertex{}, waiting: map[string]map[string]*vertex{}}
+	if g.missing[dependency] == nil {
+		g.missing[dependency] = map[string]*vertex{}
+	}
+	g.missing[dependency][v.id()] = v
 }
 
-// add takes in an active job and returns the jobs whose order that changes.
-func (g *graph) add(r *Record) (changed []string) {
-	v := newVertex(r)
-	id := r.Job.ID
-	g.vertices[id] = v
-	for dependent, d := range g.waiting[id] {
-		v.dependents[dependent] = d
-		v.priority.raise(d.priority.Rank, d.startBy())
-	}
-	delete(g.waiting, id)
-	for _, need := range r.Job.Dependencies {
-		if n := g.vertices[need]; n != nil {
-			n.dependents[id] = v
-			continue
+// unlink removes a vertex from the dependents of its dependencies.
+func (g *graph) unlink(v *vertex) {
+	for _, dependency := range v.dependencies() {
+		if d := g.vertices[dependency]; d != nil {
+			delete(d.dependents, v.id())
 		}
-		if g.waiting[need] == nil {
-			g.waiting[need] = map[string]*vertex{}
+		delete(g.missing[dependency], v.id())
+		if len(g.missing[dependency]) == 0 {
+			delete(g.missing, dependency)
 		}
-		g.waiting[need][id] = v
 	}
-	return g.spread([]*vertex{v})
 }
 
-// spread hands the order of jobs on to those that they need, and returns those
-// that it changes.
-func (g *graph) spread(work []*vertex) (changed []string) {
-	for len(work) > 0 {
-		v := work[0]
-		work = work[1:]
-		for _, need := range v.record.Job.Dependencies {
-			n := g.vertices[need]
-			if n == nil || n.over || !n.priority.raise(v.priority.Rank, v.startBy()) {
+// spread raises the priorities of the jobs that a vertex depends on, directly or
+// through others, and returns those that it changes.
+func (g *graph) spread(from *vertex) (changed []string) {
+	for work := []*vertex{from}; len(work) > 0; work = work[1:] {
+		for _, dependency := range work[0].dependencies() {
+			d := g.vertices[dependency]
+			if d == nil || d.over || !d.inherit(work[0]) {
 				continue
 			}
-			changed = append(changed, need)
-			work = append(work, n)
+			changed = append(changed, dependency)
+			work = append(work, d)
 		}
 	}
 	return changed
 }
 
-// done marks a job as done at a time. It returns the jobs that are ready now, and
-// those whose order changes since this one needs nothing any more.
+// done marks a job as done at a time. It returns the jobs that became ready, and those
+// whose priority changes since this one depends on nothing any more.
 func (g *graph) done(id string, at time.Time) (ready, changed []string) {
-	dependents := g.waiting[id]
-	v := g.vertices[id]
-	if v != nil && !v.over {
-		v.over = true
-		g.over++
-		changed = g.relax(v.record.Job.Dependencies)
-		if g.over > maxOver {
-			g.detach(v)
-		}
-	}
-	if v != nil {
+	dependents := g.missing[id]
+	if v := g.vertices[id]; v != nil {
 		dependents = v.dependents
+		if !v.over {
+			changed = g.end(v)
+			if g.over > maxOver {
+				g.detach(v)
+			}
+		}
 	}
 	for dependent, d := range dependents {
-		if !d.unfinished[id] {
-			continue
-		}
-		delete(d.unfinished, id)
-		if at.After(d.readyAt) {
-			d.readyAt = at
-		}
-		if len(d.unfinished) == 0 {
+		if d.finish(id, at) {
 			ready = append(ready, dependent)
 		}
 	}
@@ -167,24 +102,29 @@
 	return ready, changed
 }
 
-// remove takes a job that is over out of the graph and returns the jobs whose
-// order that changes.
+// remove removes a job that is over and returns the jobs whose priority that changes.
 func (g *graph) remove(id string) (changed []string) {
 	v := g.vertices[id]
 	if v == nil {
 		return nil
 	}
+	changed = g.end(v)
+	clear(v.dependents)
+	g.prune([]string{id})
+	return changed
+}
+
+// end marks a vertex as over and returns the jobs whose priority that changes.
+func (g *graph) end(v *vertex) (changed []string) {
 	if !v.over {
 		v.over = true
 		g.over++
 	}
-	changed = g.relax(v.record.Job.Dependencies)
-	clear(v.dependents)
-	g.prune([]string{id})
-	return changed
+	return g.relax(v.dependencies())
 }
 
-// relax works out anew the order of jobs that a job has needed until now.
+// relax computes the priorities of jobs again that a job has depended on until now,
+// and of those before them, and returns the jobs that it changes.
 func (g *graph) relax(ids []string) (changed []string) {
 	work := slices.Clone(ids)
 	queued := map[string]bool{}
@@ -193,31 +133,35 @@
 		work = work[1:]
 		delete(queued, id)
 		v := g.vertices[id]
-		if v == nil || v.over {
-			continue
-		}
-		before := v.priority
-		v.priority = v.record.ownPriority()
-		for _, d := range v.dependents {
-			if !d.over {
-				v.priority.raise(d.priority.Rank, d.startBy())
-			}
-		}
-		if v.priority == before {
+		if v == nil || v.over || !v.recomputePriority() {
 			continue
 		}
 		changed = append(changed, id)
-		for _, need := range v.record.Job.Dependencies {
-			if !queued[need] {
-				queued[need] = true
-				work = append(work, need)
+		for _, dependency := range v.dependencies() {
+			if !queued[dependency] {
+				queued[dependency] = true
+				work = append(work, dependency)
 			}
 		}
 	}
 	return changed
 }
 
-// prune forgets jobs that are over and that no other job needs any more.
+// recomputePriority computes the priority from those of the active dependents, and
+// reports whether that changed it.
+func (v *vertex) recomputePriority() (changed bool) {
+	before := v.priority
+	v.priority = v.record.ownPriority()
+	for _, d := range v.dependents {
+		if !d.over {
+			v.inherit(d)
+		}
+	}
+	return v.priority != before
+}
+
+// prune removes those of the jobs that are over and that no other job depends on any
+// more, and then what that makes removable.
 func (g *graph) prune(ids []string) {
 	for len(ids) > 0 {
 		id := ids[0]
@@ -228,116 +172,13 @@
 		}
 		delete(g.vertices, id)
 		g.over--
-		ids = append(ids, g.unlink(v)...)
-	}
-}
-
-// unlink ends a job's needing others, and returns those.
-func (g *graph) unlink(v *vertex) (needs []string) {
-	id := v.record.Job.ID
-	for _, need := range v.record.Job.Dependencies {
-		if n := g.vertices[need]; n != nil {
-			delete(n.dependents, id)
-		}
-		delete(g.waiting[need], id)
-		if len(g.waiting[need]) == 0 {
-			delete(g.waiting, need)
-		}
-	}
-	return v.record.Job.Dependencies
-}
-
-// detach forgets what came before a job that is done.
-func (g *graph) detach(v *vertex) { g.prune(g.unlink(v)) }
-
-// after returns all jobs that need a job, directly or through others.
-func (g *graph) after(id string) (all []string) {
-	seen := map[string]bool{}
-	direct := func(id string) map[string]*vertex {
-		if v := g.vertices[id]; v != nil {
-			return v.dependents
-		}
-		return g.waiting[id]
-	}
-	for work := []string{id}; len(work) > 0; work = work[1:] {
-		for dependent, d := range direct(work[0]) {
-			if !seen[dependent] && !d.over {
-				seen[dependent] = true
-				all = append(all, dependent)
-				work = append(work, dependent)
-			}
-		}
+		g.unlink(v)
+		ids = append(ids, v.dependencies()...)
 	}
-	return all
 }
 
-// unfinishedBefore returns the jobs that are not known to be done and that a job
-// needs, directly or through others.
-func (g *graph) unfinishedBefore(id string) []string {
-	seen := map[string]bool{}
-	for work := []string{id}; len(work) > 0; work = work[1:] {
-		v := g.vertices[work[0]]
-		if v == nil {
-			continue
-		}
-		for need := range v.unfinished {
-			if !seen[need] {
-				seen[need] = true
-				work = append(work, need)
-			}
-		}
-	}
-	return slices.Sorted(maps.Keys(seen))
-}
-
-// readiness tells what a job's place in its dependency graph says of it.
-func (v *vertex) readiness() Readiness {
-	return Readiness{EffectivePriority: v.priority, Ready: len(v.unfinished) == 0, ReadyAt: v.readyAt}
-}
-
-// lasts returns the active jobs that need others and that no active job needs.
-func (g *graph) lasts() (lasts []*vertex) {
-	for _, v := range g.vertices {
-		if !v.over && len(v.record.Job.Dependencies) > 0 && !v.needed() {
-			lasts = append(lasts, v)
-		}
-	}
-	return lasts
-}
-
-// needed tells whether a job that is not over needs this one.
-func (v *vertex) needed() bool {
-	for _, d := range v.dependents {
-		if !d.over {
-			return true
-		}
-	}
-	return false
-}
-
-// upTo returns a job and all that it needs, directly or through others and also
-// those that are over, as far as they are in the graph, in the order in which
-// they were accepted.
-func (g *graph) upTo(last *vertex) []*vertex {
-	seen := map[*vertex]bool{last: true}
-	all := []*vertex{last}
-	for work := []*vertex{last}; len(work) > 0; work = work[1:] {
-		for _, need := range work[0].record.Job.Dependencies {
-			if n := g.vertices[need]; n != nil && !seen[n] {
-				seen[n] = true
-				all = append(all, n)
-				work = append(work, n)
-			}
-		}
-	}
-	slices.SortFunc(all, func(a, b *vertex) int {
-		switch {
-		case a.record.Version < b.record.Version:
-			return -1
-		case a.record.Version > b.record.Version:
-			return 1
-		}
-		return 0
-	})
-	return all
+// detach removes what came before a job that is done.
+func (g *graph) detach(v *vertex) {
+	g.unlink(v)
+	g.prune(slices.Clone(v.dependencies()))
 }
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -1,27 +1,48 @@
 package job
 
-import "heronwick/wire"
+import (
+	"encoding/json"
+	"strings"
+	"time"
 
-// Record is an accepted job.
+	"heronwick/internal/state"
+	"heronwick/wire"
+)
+
+// Prefixes of the keys that this package owns.
+const (
+	prefix       = "jobs/"
+	activePrefix = prefix + "active/"
+	finalPrefix  = prefix + "final/"
+	donePrefix   = "done/" // many jobs to a key, see DoneBucket
+)
+
+// Record is the record of an accepted job that is not over.
 type Record struct {
 	Job wire.Job `json:"job"`
-	// AcceptedMs is the time of day of acceptance. It orders jobs and places
-	// deadlines; no safety depends on it.
+	// AcceptedMs is the time of acceptance in milliseconds since 1970. It orders
+	// jobs and is what deadlines count from; no safety depends on it.
 	AcceptedMs int64  `json:"accepted_ms"`
-	Version    uint64 `json:"-"`
+	Version    uint64 `json:"-"` // of its key
 }
 
-// Condition holds while the job is not over.
+// Condition returns the condition that holds while the job is not over.
 func (r *Record) Condition() wire.Condition {
 	return wire.Condition{Key: activePrefix + r.Job.ID, Version: r.Version}
 }
 
-// IsActive returns the job whose active record key is, if it is one.
-func IsActive(key string) (id string, ok bool) {
-	if len(key) > len(activePrefix) && key[:len(activePrefix)] == activePrefix {
-		return key[len(activePrefix):], true
+// IsActive returns the id of the job whose active record key is; ok is false for
+// a key of another kind.
+func IsActive(key string) (id string, ok bool) { return idUnder(activePrefix, key) }
+
+// idUnder returns what follows the prefix in a key; ok is false if that is nothing
+// or the key has another prefix.
+func idUnder(prefix, key string) (id string, ok bool) {
+	id, ok = strings.CutPrefix(key, prefix)
+	if !ok || id == "" {
+		return "", false
 	}
-	return "", false
+	return id, true
 }
 
 // Outcome is the record of a job that is over. It keeps what the tasks take and
@@ -30,10 +51,45 @@
 	State    wire.JobState `json:"state"`
 	Tasks    int           `json:"tasks"`
 	Team     string        `json:"team"`
-	CPUs     float64       `json:"cpus"`
+	CPUs     float64       `json:"cpus"` // of each task, as are GPUs and MemoryGB
 	GPUs     float64       `json:"gpus"`
 	MemoryGB float64       `json:"memory_gb"`
-	// EndedMs is the time of day of the end: the jobs after it count their times
-	// from there. The version before this one did not write it.
+	// EndedMs is the time of the end in milliseconds since 1970, from which the
+	// waiting times of the jobs after it count; 0 in records of older versions.
 	EndedMs int64 `json:"ended_ms,omitempty"`
 }
+
+// newOutcome returns the outcome of a job that ended in a state at a time.
+func newOutcome(j *wire.Job, s wire.JobState, at time.Time) Outcome {
+	return Outcome{State: s, Tasks: j.Tasks, Team: j.Team, CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB, EndedMs: at.UnixMilli()}
+}
+
+// status returns what users are told of a job with this outcome.
+func (o *Outcome) status(id string) wire.JobStatus {
+	s := wire.JobStatus{ID: id, State: o.State}
+	if o.State == wire.JobDone {
+		s.Done = o.Tasks
+	}
+	return s
+}
+
+// neverAccepted are the conditions that hold while nobody has accepted the job.
+func neverAccepted(id string) []wire.Condition {
+	return []wire.Condition{{Key: activePrefix + id}, {Key: finalPrefix + id}}
+}
+
+// endWrite returns the write that ends an active job, unless it is over.
+func endWrite(r *Record, o *Outcome, p state.Priority) state.Write {
+	value, err := json.Marshal(o)
+	if err != nil {
+		panic(err) // an Outcome holds nothing that cannot be encoded
+	}
+	return state.Write{
+		Priority: p,
+		If:       []wire.Condition{r.Condition(), {Key: finalPrefix + r.Job.ID}},
+		Then: []wire.Change{
+			{Delete: activePrefix + r.Job.ID},
+			{Put: finalPrefix + r.Job.ID, Value: value},
+		},
+	}
+}
