--- /dev/null
+++ b/internal/cloud/client_test.go
@@ -0,0 +1,46 @@
+package cloud
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+
+	"heronwick/wire"
+)
+
+// Only a 503 that says so means that there is no capacity; any other failure leaves
+// open whether the rental was carried out.
+func TestRentErrors(t *testing.T) {
+	for _, test := range []struct {
+		status int
+		body   string
+		want   error
+	}{
+		{200, `{"perches":["host-1","host-2"]}`, nil},
+		{200, `{`, ErrUnavailable},
+		{503, `{"error":"no capacity"}`, ErrNoCapacity},
+		{503, `{"error":"overloaded"}`, ErrUnavailable},
+		{500, ``, ErrUnavailable},
+	} {
+		var sent string
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			body, _ := io.ReadAll(r.Body)
+			sent = r.Method + " " + r.URL.Path + " " + string(body)
+			w.WriteHeader(test.status)
+			_, _ = io.WriteString(w, test.body)
+		}))
+		client := NewClient(strings.TrimPrefix(server.URL, "http://"), 10)
+		machines, err := client.Rent(context.Background(), wire.RentRequest{Request: "r1", Count: 2})
+		server.Close()
+		if !errors.Is(err, test.want) || (err == nil) != (len(machines) == 2) {
+			t.Errorf("status %d, %q: %v, %v", test.status, test.body, machines, err)
+		}
+		if !strings.HasPrefix(sent, `POST /rentals {"tender":"r1"`) {
+			t.Errorf("sent %q", sent)
+		}
+	}
+}
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -13,6 +13,7 @@
 	"github.com/segmentio/encoding/json"
 	"github.com/valyala/fasthttp"
 
+	"heronwick/internal/httpcall"
 	"heronwick/wire"
 )
 
@@ -126,23 +127,15 @@
 }
 
 func (c *Client) do(ctx context.Context, method, url string, body []byte) (*wire.Heartbeat, error) {
-	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(req)
+	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	req.SetRequestURI(url)
-	req.Header.SetMethod(method)
-	if !c.socketsBelow(keepThreshold) {
-		req.SetConnectionClose()
-	}
-	if body != nil {
-		req.Header.SetContentType("application/json")
-		req.SetBodyRaw(body)
-	}
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		deadline = time.Now().Add(requestTimeout)
 	}
-	if err := c.http.DoDeadline(req, resp, deadline); err != nil {
+	req := httpcall.Request{Method: method, URL: url, Body: body, Deadline: deadline,
+		CloseConnection: !c.socketsBelow(keepThreshold)}
+	if err := httpcall.Do(c.http, req, resp); err != nil {
 		return nil, fmt.Errorf("%s %s: %w", method, url, err)
 	}
 	if status := resp.StatusCode(); status != http.StatusOK && status != http.StatusConflict {
--- a/internal/job/store.go
+++ b/internal/job/store.go
@@ -11,6 +11,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"heronwick/internal/state"
+	"heronwick/internal/wait"
 	"heronwick/wire"
 )
 
@@ -128,14 +129,7 @@
 }
 
 // Wait waits until the records have been read. The error is that of ctx.
-func (s *Store) Wait(ctx context.Context) error {
-	select {
-	case <-s.loaded:
-		return nil
-	case <-ctx.Done():
-		return ctx.Err()
-	}
-}
+func (s *Store) Wait(ctx context.Context) error { return wait.For(ctx, s.loaded) }
 
 // Listen calls l for every change from now on, in place of the listener before; a
 // nil listener ends that.
--- a/internal/overload/doc.go
+++ b/internal/overload/doc.go
@@ -1,4 +1,4 @@
-// Package overload measures how short of processor time this process is (its
-// scheduling latency), so that the rest of the service does not take its own
-// slowness for the silence of others.
+// Package overload measures the scheduling latency of this process: how long its
+// goroutines wait for a processor. A controller that knows it is short of processor
+// time does not mistake its own slowness for the silence of others.
 package overload
--- a/internal/state/transport.go
+++ b/internal/state/transport.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"github.com/valyala/fasthttp"
+
+	"heronwick/internal/httpcall"
 )
 
 // Transport carries one request to the state service and returns the status
@@ -53,20 +55,14 @@
 
 // Do implements Transport. A context without a deadline gets RequestTimeout.
 func (t *HTTPTransport) Do(ctx context.Context, method, target string, body []byte) (int, []byte, error) {
-	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(req)
+	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	req.SetRequestURI("http://" + t.client.Addr + target)
-	req.Header.SetMethod(method)
-	if body != nil {
-		req.Header.SetContentType("application/json")
-		req.SetBodyRaw(body)
-	}
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		deadline = time.Now().Add(RequestTimeout)
 	}
-	if err := t.client.DoDeadline(req, resp, deadline); err != nil {
+	req := httpcall.Request{Method: method, URL: "http://" + t.client.Addr + target, Body: body, Deadline: deadline}
+	if err := httpcall.Do(t.client, req, resp); err != nil {
 		if errors.Is(err, fasthttp.ErrNoFreeConns) {
 			err = fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
--- a/internal/wait/doc.go
+++ b/internal/wait/doc.go
@@ -1,2 +1,3 @@
-// Package wait sleeps and ticks for as long as a context lasts.
+// Package wait sleeps, waits for channels and calls functions at intervals, until a
+// context ends.
 package wait
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// Every calls f at regular times until ctx ends. Times that come while f takes longer
-// are left out.
+// Every calls f every interval until ctx ends, and returns nil then. The first call is
+// after one interval; ticks that come while f runs are dropped.
 func Every(ctx context.Context, interval time.Duration, f func()) error {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
@@ -31,3 +31,13 @@
 		}
 	}
 }
+
+// For waits until done is closed. The error is that of ctx if it ends before.
+func For(ctx context.Context, done <-chan struct{}) error {
+	select {
+	case <-done:
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -7,6 +7,10 @@
 	PathReturn   = "/rentals/return"
 )
 
+// NoCapacity is the error text of a rental for which the cloud has no machine
+// (HTTP 503).
+const NoCapacity = "no capacity"
+
 // Limits of the cloud's interface: machines in one rental, one return and one
 // page of the list.
 const (
