--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -50,7 +50,7 @@
 	membershipDone   chan struct{}      // closed when the current RunMembership has returned
 
 	// The proof that the epoch is current.
-	confirmedAt         time.Time // when the last confirmation, cancellations included, was asked for
+	confirmedAt         time.Time // when the last confirmation, cancellations included, was requested
 	caughtUpAt          time.Time // when the store last showed all cancellations
 	confirmationExpired bool      // as last logged
 	fence               fence
--- a/internal/cluster/confirmation.go
+++ b/internal/cluster/confirmation.go
@@ -27,7 +27,7 @@
 
 // CanAnswerHeartbeats reports whether this controller may answer workers'
 // heartbeats now: it is a member, and a confirmation that its epoch is current
-// was asked for within the confirmation TTL. Without that bound, a controller cut
+// was requested within the confirmation TTL. Without that bound, a controller cut
 // off from everything but some workers would renew their leases for ever, and
 // nobody could ever count them as expired.
 func (c *Cluster) CanAnswerHeartbeats() bool {
@@ -57,7 +57,7 @@
 	c.confirmLocked(times[needed-1])
 }
 
-// confirmLocked records a confirmation, asked for at a time, that the epoch was
+// confirmLocked records a confirmation, requested at a time, that the epoch was
 // current.
 func (c *Cluster) confirmLocked(at time.Time) {
 	if at.After(c.confirmedAt) {
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -31,7 +31,7 @@
 	level         FeatureLevel // that its version supports
 	stateOK       bool         // it lately reached the store by itself
 	workersHeard  uint32       // that lately sent it heartbeats instead of the leader
-	confirmedAt   time.Time    // when it was asked and knew of no newer epoch than ours
+	confirmedAt   time.Time    // when the last request was sent to which it knew no newer epoch
 	excludedUntil time.Time    // it may not join before then
 	replication   replicationQueue
 }
--- a/internal/cluster/replicate.go
+++ b/internal/cluster/replicate.go
@@ -48,7 +48,7 @@
 		return err
 	}
 	if r.needed > 0 {
-		c.opts.Log.Info("cancellation not confirmed: too few controllers can be told", "job", cancellation.Job, "lacking", r.needed)
+		c.opts.Log.Info("cancellation not confirmed: too few controllers acknowledged it", "job", cancellation.Job, "lacking", r.needed)
 		return errNotReplicated
 	}
 	return nil
--- a/internal/cluster/watch.go
+++ b/internal/cluster/watch.go
@@ -86,7 +86,7 @@
 
 // listing is a list of the keys as of a revision.
 type listing struct {
-	sent     time.Time // when it was asked for
+	sent     time.Time // when it was requested
 	items    []wire.Item
 	revision uint64
 	caughtUp bool // all cancellations up to the revision are known
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// commands returns what the worker should be told now, at most wire.MaxCommands:
-// first what makes room.
+// commands returns the commands that the worker should get now, at most
+// wire.MaxCommands: first those that make room.
 func (m *Machine) commands() []wire.Command {
 	var stops, forgets, starts []wire.Command
 	for _, a := range m.Attempts.All() {
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -52,7 +52,7 @@
 }
 
 // applyTaskStatus applies what a heartbeat says of one attempt; ok is false if
-// that is no news.
+// nothing has changed.
 func (m *Machine) applyTaskStatus(status wire.TaskStatus, now time.Time) (event Event, ok bool) {
 	a := m.Attempts.Get(Key{status.Task, status.Attempt})
 	if a == nil {
--- a/internal/job/answers.go
+++ b/internal/job/answers.go
@@ -45,7 +45,7 @@
 }
 
 // Resolve finds out about a job that is not cached: whether it is over, or not known
-// at all. An active one is told to the listener.
+// at all. The listener is notified of an active one.
 func (s *Store) Resolve(ctx context.Context, id string) (f Outcome, over, found bool, err error) {
 	if f, over = s.outcome(id); over {
 		return f, true, true, nil
@@ -99,7 +99,7 @@
 }
 
 // Submit accepts a job, or returns its status if that was done before; created
-// tells the two apart. The error is ErrNotReady, ErrDependenciesNotSupported, a
+// reports which. The error is ErrNotReady, ErrDependenciesNotSupported, a
 // *wire.FieldError if the job can never be accepted, or that of the key-value store.
 func (s *Store) Submit(ctx context.Context, j wire.Job) (status wire.JobStatus, created bool, err error) {
 	if !s.Ready() {
--- a/internal/job/cancellations.go
+++ b/internal/job/cancellations.go
@@ -80,7 +80,7 @@
 	Revision uint64
 	// Base is the revision after which all known cancellations can be named.
 	Base uint64
-	// Recent are those after the revision that was asked about.
+	// Recent are those after the requested revision.
 	Recent []Cancellation
 }
 
--- a/internal/job/changes.go
+++ b/internal/job/changes.go
@@ -7,14 +7,14 @@
 	"heronwick/wire"
 )
 
-// changeSet is what the listener is to be told of a change of the cache.
+// changeSet is what a change of the cache means for the listener.
 type changeSet struct {
 	added   *Record            // nil: none
 	ended   map[string]Outcome // by job
 	changed []string           // jobs whose readiness has changed
 }
 
-// notify tells the listener of a change set, without the lock.
+// notify calls the listener for a change set, without the lock.
 func (s *Store) notify(changes changeSet) {
 	s.mu.Lock()
 	listener := s.listener
--- a/internal/job/store.go
+++ b/internal/job/store.go
@@ -23,10 +23,10 @@
 	ErrDependenciesNotSupported = errors.New("not every controller supports jobs that need others yet")
 )
 
-// maxOutcomes bounds the outcomes kept in memory; others are read when asked for.
+// maxOutcomes bounds the outcomes kept in memory; others are read when needed.
 const maxOutcomes = 50_000
 
-// Listener is told of jobs that come and go. Its methods are called without the
+// Listener is notified of jobs that come and go. Its methods are called without the
 // store's lock.
 type Listener interface {
 	JobAdded(r *Record)
