--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -46,10 +46,10 @@
 	// Counted reports that the scheduler's sums include it, under Zone.
 	Counted bool
 	Zone    string
-	// Guest reports that its job belongs to another scheduler, which had it placed
+	// Hosted reports that its job belongs to another scheduler, which had it placed
 	// here under the epoch of token Epoch.
-	Guest bool
-	Epoch uint64
+	Hosted bool
+	Epoch  uint64
 
 	incarnation     uint64 // of the worker that it was sent to
 	lastShownIn     uint64 // number of the last applied heartbeat that showed it
@@ -63,6 +63,20 @@
 // Exited reports whether a heartbeat has shown that the attempt exited.
 func (a *Attempt) Exited() bool { return a.State == wire.TaskExited }
 
+// Describe takes over what an attempt has of its job, and the rank of the job's
+// priority.
+func (a *Attempt) Describe(j *wire.Job, rank int) {
+	a.Team, a.Rank, a.Service = j.Team, rank, j.Kind == wire.KindService
+	a.Image, a.ImageGB = j.Image, j.ImageGB
+	a.Size, a.Sized = placement.Of(j), true
+	if j.CheckpointS > 0 {
+		a.GraceS = saveGrace(j)
+	}
+}
+
+// saveGrace leaves a task a little more than its owner says it needs to save.
+func saveGrace(j *wire.Job) float64 { return j.SaveS*1.25 + 0.5 }
+
 // EventKind says what has become known of an attempt.
 type EventKind int
 
--- /dev/null
+++ b/internal/fleet/attemptnumbers.go
@@ -0,0 +1,30 @@
+package fleet
+
+// AttemptBits is how many bits number the attempts under one fencing token:
+// those of a later token are all higher.
+const AttemptBits = 20
+
+const (
+	// FewAttemptNumbers is with how many numbers left another token is asked for.
+	FewAttemptNumbers = 1 << (AttemptBits - 2)
+	// MinAttemptNumbers is with how many numbers left something may still be
+	// placed: more than one pass over the largest fleet places.
+	MinAttemptNumbers = 1 << (AttemptBits - 3)
+)
+
+// AttemptNumbers gives each attempt of a scheduler a number higher than all
+// before it, and than all that were given under earlier fencing tokens. The
+// zero value is ready to use; it is not safe for concurrent use.
+type AttemptNumbers struct{ last uint64 }
+
+// Next returns a number under the token.
+func (n *AttemptNumbers) Next(token uint64) uint64 {
+	n.last = max(n.last+1, token<<AttemptBits)
+	return n.last
+}
+
+// Left returns how many numbers there are under the token.
+func (n *AttemptNumbers) Left(token uint64) uint64 {
+	end := (token + 1) << AttemptBits
+	return end - min(end, max(n.last+1, token<<AttemptBits))
+}
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -93,7 +93,7 @@
 	if req.Rank < victim.Rank {
 		return true
 	}
-	if !req.Guaranteed || victim.Guest || victim.Team == req.Team {
+	if !req.Guaranteed || victim.Hosted || victim.Team == req.Team {
 		return false
 	}
 	return req.AboveGuarantee(victim.Team)
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -20,16 +20,16 @@
 			s.resolveJobLocked(a.Job)
 			return
 		}
-		s.describe(a, &r.Job, s.effectivePriorityOf(r))
-		a.Guest = true
+		a.Describe(&r.Job, s.effectivePriorityOf(r))
+		a.Hosted = true
 		s.closeIfEmptyLocked(m)
 		return
 	}
-	a.Guest = false
+	a.Hosted = false
 	if remote := s.remoteAttempts.Get(a.Key); remote != nil {
 		s.forgetRemoteLocked(remote) // it was another's, and its machine is now ours
 	}
-	s.describe(a, &queued.Record.Job, queued.EffectivePriority)
+	a.Describe(&queued.Record.Job, queued.EffectivePriority)
 	if a.Exited() {
 		return
 	}
@@ -41,25 +41,11 @@
 	s.closeIfEmptyLocked(m)
 }
 
-// describe fills in what an attempt has of its job, and the job's effective
-// priority.
-func (s *Scheduler) describe(a *fleet.Attempt, j *wire.Job, priority int) {
-	a.Team, a.Rank, a.Service = j.Team, priority, j.Kind == wire.KindService
-	a.Image, a.ImageGB = j.Image, j.ImageGB
-	a.Size, a.Sized = placement.Of(j), true
-	if j.CheckpointS > 0 {
-		a.GraceS = graceFor(j)
-	}
-}
-
 // sizeOf is what each task of a job took that is over.
 func sizeOf(f job.Outcome) placement.Resources {
 	return placement.Resources{CPUs: f.CPUs, GPUs: f.GPUs, MemoryGB: f.MemoryGB}
 }
 
-// graceFor leaves a task a little more than its owner says it needs to save.
-func graceFor(j *wire.Job) float64 { return j.SaveS*1.25 + 0.5 }
-
 // countAttemptLocked counts an attempt that may be on a machine in the zone, for
 // its team and its job.
 func (s *Scheduler) countAttemptLocked(zone string, a *fleet.Attempt) {
@@ -127,7 +113,7 @@
 	queued := s.jobs[a.Job]
 	if queued == nil {
 		// Its owner, which asks, decides what follows; without one, nothing.
-		a.Handled = !a.Guest
+		a.Handled = !a.Hosted
 		s.uncountAttemptLocked(a)
 		return
 	}
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -143,7 +143,7 @@
 		lost[id] = true
 		delete(s.jobs, id)
 		for a := range queued.Done.Unwritten() {
-			a.Guest = true // its new owner asks for it
+			a.Hosted = true // its new owner asks for it
 		}
 	}
 	if len(lost) == 0 {
@@ -152,7 +152,7 @@
 	for _, m := range s.machines {
 		for _, a := range m.Attempts.All() {
 			if lost[a.Job] {
-				a.Guest, a.Epoch = true, 0
+				a.Hosted, a.Epoch = true, 0
 				s.uncountAttemptLocked(a)
 			}
 		}
@@ -180,7 +180,7 @@
 // shard assignment in which their owner asked: it finds that they are not here.
 func (s *Scheduler) dropStaleHostedLocked(m *machine) {
 	for _, a := range m.Attempts.All() {
-		if a.Guest && !a.Durable && a.Epoch < s.epoch.assignedToken {
+		if a.Hosted && !a.Durable && a.Epoch < s.epoch.assignedToken {
 			m.Attempts.Delete(a.Key)
 		}
 	}
--- a/internal/scheduler/hosting.go
+++ b/internal/scheduler/hosting.go
@@ -152,8 +152,8 @@
 // hostLocked books an attempt of another controller's job on a machine.
 func (s *Scheduler) hostLocked(r *jobRequest, at *peerpb.Attempt, index int, m *machine, now time.Time) {
 	id := r.wanted.Job
-	a := &fleet.Attempt{Key: remote.KeyOf(at), Job: id, Index: index, Guest: true, Epoch: s.epoch.Token}
-	s.describe(a, &r.record.Job, r.job.EffectivePriority)
+	a := &fleet.Attempt{Key: remote.KeyOf(at), Job: id, Index: index, Hosted: true, Epoch: s.epoch.Token}
+	a.Describe(&r.record.Job, r.job.EffectivePriority)
 	m.Add(a, now)
 	m.packing.Changed()
 	m.record.Dirty = true
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -181,16 +181,16 @@
 // numbersLeftLocked makes sure that there are numbers for attempts under the
 // token, and returns false while there are not.
 func (s *Scheduler) numbersLeftLocked(now time.Time) bool {
-	left := s.numbers.left(s.epoch.Token)
-	if left < fewNumbersLeft {
+	left := s.numbers.Left(s.epoch.Token)
+	if left < fleet.FewAttemptNumbers {
 		s.raiseLocked(now)
 	}
-	return left >= noNumbersLeft
+	return left >= fleet.MinAttemptNumbers
 }
 
 func (s *Scheduler) newAttempt(queued *queue.Job, index int) *fleet.Attempt {
 	j := &queued.Record.Job
-	a := &fleet.Attempt{Key: fleet.Key{Task: wire.TaskID(j.ID, index), Attempt: s.numbers.next(s.epoch.Token)}, Job: j.ID, Index: index}
-	s.describe(a, j, queued.EffectivePriority)
+	a := &fleet.Attempt{Key: fleet.Key{Task: wire.TaskID(j.ID, index), Attempt: s.numbers.Next(s.epoch.Token)}, Job: j.ID, Index: index}
+	a.Describe(j, queued.EffectivePriority)
 	return a
 }
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -123,7 +123,7 @@
 		for _, a := range m.Attempts.All() {
 			if !a.Counted && a.Sized && !a.Exited() && s.jobs[a.Job] == nil && s.opts.Jobs.Active(a.Job) == nil &&
 				s.epoch.OwnerOf(a.Team, a.Job) == s.opts.Node {
-				a.Guest = false
+				a.Hosted = false
 				s.countAttemptLocked(m.Zone, a)
 			}
 		}
@@ -242,7 +242,7 @@
 			a.Team, a.Size, a.Sized = outcome.Team, sizeOf(outcome), true
 			s.trackRemoteLocked(a, host, fm.Zone)
 		} else if queued := s.jobs[a.Job]; queued != nil && adopting.gained[a.Job] {
-			s.describe(a, &queued.Record.Job, queued.EffectivePriority)
+			a.Describe(&queued.Record.Job, queued.EffectivePriority)
 			s.trackRemoteLocked(a, host, fm.Zone)
 		}
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -172,7 +172,7 @@
 	packer            *packing.Packer
 	victims           victimSummary
 	fetchDeferred     bool // a job of the turn that is being served leaves room to others
-	numbers           attemptNumbers
+	numbers           fleet.AttemptNumbers
 	inventory         *autoscale.Inventory
 	planner           *autoscale.Planner // shares types and inventory
 	notices           releaseNotices
