--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -78,7 +78,7 @@
 func (s *Scheduler) machinesToAdoptLocked(mine map[string]cluster.Owner, orphans []string) (adopt []string) {
 	for name, owner := range mine {
 		switch {
-		case s.machines[name] != nil || s.moving[name] || s.inventory.IsReleased(name):
+		case s.machines[name] != nil || s.transfers.Moving(name) || s.inventory.IsReleased(name):
 		case owner.Machine == nil || !s.loaded || owner.Version <= s.begun:
 			adopt = append(adopt, name) // it may have had tasks since that was written
 		default:
@@ -86,7 +86,7 @@
 		}
 	}
 	for _, name := range orphans {
-		if s.machines[name] == nil && !s.moving[name] && !s.inventory.IsReleased(name) {
+		if s.machines[name] == nil && !s.transfers.Moving(name) && !s.inventory.IsReleased(name) {
 			adopt = append(adopt, name)
 		}
 	}
@@ -206,7 +206,7 @@
 		return nil, false // sent before its machine was returned
 	}
 	node, owned := s.opts.Authority.HeartbeatTarget(name)
-	if node != s.opts.Node || s.moving[name] {
+	if node != s.opts.Node || s.transfers.Moving(name) {
 		return nil, false
 	}
 	_, named := s.opts.Authority.OwnerOf(name)
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -10,7 +10,9 @@
 
 	"heronwick/internal/cluster"
 	"heronwick/internal/fleet"
+	"heronwick/internal/ownership"
 	"heronwick/internal/state"
+	"heronwick/internal/wait"
 	"heronwick/wire"
 )
 
@@ -30,13 +32,13 @@
 	m.base, m.fence, m.LastReply, m.HeartbeatSeen = 0, 0, now, true
 }
 
-// transfer makes node the owner of machines, or, with no node, tells that they
-// are released.
-func (s *Scheduler) transfer(ctx context.Context, node string, machines map[string]json.RawMessage, priority state.Priority) error {
+// transfer makes node the owner of the machines of records, or, with no node,
+// tells that they are released.
+func (s *Scheduler) transfer(ctx context.Context, node string, records ownership.Records, priority state.Priority) error {
 	s.mu.Lock()
 	fence := s.fenceLocked()
 	s.mu.Unlock()
-	condition, change, ok := s.opts.Authority.TransferWrite(node, machines)
+	condition, change, ok := s.opts.Authority.TransferWrite(node, records)
 	if !ok {
 		return fmt.Errorf("%s is no member", node)
 	}
@@ -49,6 +51,31 @@
 	return nil
 }
 
+// announceRetryAfter is how long after an announcement that could not be
+// written the next one is.
+const announceRetryAfter = 500 * time.Millisecond
+
+// announceReleasesLocked tells the other controllers which machines are
+// released, many in one write.
+func (s *Scheduler) announceReleasesLocked() {
+	if !s.loaded {
+		return
+	}
+	names, records := s.transfers.BeginAnnouncement(s.valueLimit.Bytes())
+	if len(names) == 0 {
+		return
+	}
+	s.goDo(func(ctx context.Context) {
+		err := s.transfer(ctx, "", records, state.Background)
+		if err != nil {
+			wait.Sleep(ctx, announceRetryAfter)
+		}
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.transfers.EndAnnouncement(len(names), err == nil)
+	})
+}
+
 // canHandOverLocked tells whether a machine can change to another controller:
 // idle, and nothing that this one has sent can still come to it.
 func (s *Scheduler) canHandOverLocked(m *machine, now time.Time) bool {
@@ -68,20 +95,11 @@
 	return idle
 }
 
-const (
-	// imagesPartOfTransfer is which part of a transfer's value the images of one
-	// machine may take.
-	imagesPartOfTransfer = 16
-	// transferSyntax is more than a machine takes of a transfer beside its name
-	// and its record.
-	transferSyntax = 8
-)
-
 // handoverBatch is what one write hands over: the machines, and their records
 // by name.
 type handoverBatch struct {
 	machines []*machine
-	records  map[string]json.RawMessage
+	records  ownership.Records
 }
 
 // handOverLocked hands idle machines over to another controller, in as many
@@ -102,26 +120,24 @@
 // nextHandoverBatchLocked takes as many machines as one write holds, at least
 // one, out of the scheduler's own, and returns the rest.
 func (s *Scheduler) nextHandoverBatchLocked(machines []*machine) (batch handoverBatch, rest []*machine) {
-	batch.records = map[string]json.RawMessage{}
-	size := 0
+	batch.records = ownership.Records{}
+	limit, size := s.valueLimit.Bytes(), 0
 	for i, m := range machines {
-		record := m.TransferRecord()
-		record.KeepImages(s.valueLimit.Bytes() / imagesPartOfTransfer)
-		value, err := json.Marshal(record)
+		record, err := ownership.Encode(m.Machine, limit)
 		if err != nil {
 			s.log.Error("encoding a machine", "machine", m.Name, "err", err)
 			continue
 		}
-		size += len(value) + len(m.Name) + transferSyntax
-		if len(batch.machines) > 0 && size > s.valueLimit.Bytes() {
+		size += ownership.RecordBytes(m.Name, record)
+		if len(batch.machines) > 0 && size > limit {
 			return batch, machines[i:]
 		}
 		batch.machines = append(batch.machines, m)
-		batch.records[m.Name] = value
+		batch.records[m.Name] = record
 		s.packer.Open.Close(m.packing)
 		s.checkpoints.Leave(&m.record)
 		delete(s.machines, m.Name)
-		s.moving[m.Name] = true
+		s.transfers.BeginMove(m.Name)
 	}
 	return batch, nil
 }
@@ -138,7 +154,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, m := range batch.machines {
-		delete(s.moving, m.Name)
+		s.transfers.EndMove(m.Name)
 		if refused && s.opts.Authority.HostOf(&s.epoch.Epoch, m.Name) == s.opts.Node && s.machines[m.Name] == nil {
 			s.machines[m.Name] = m
 		}
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -26,6 +26,6 @@
 	delete(s.machines, m.Name)
 	if _, named := s.opts.Authority.OwnerOf(m.Name); named {
 		// Whoever takes over what is ours must not take it for a machine.
-		s.notices.pending = append(s.notices.pending, m.Name)
+		s.transfers.Release(m.Name)
 	}
 }
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -157,7 +157,7 @@
 		}
 	}
 	for _, name := range adopt {
-		if adopting.machines[name] == nil && s.machines[name] == nil && !s.moving[name] && !s.isReleasedLocked(name) {
+		if adopting.machines[name] == nil && s.machines[name] == nil && !s.transfers.Moving(name) && !s.isReleasedLocked(name) {
 			adopting.machines[name] = &adoptedMachine{machine: fleet.NewMachine(name)}
 		}
 	}
@@ -197,7 +197,7 @@
 	switch {
 	case host != s.opts.Node:
 		s.trackRecordLocked(adopting, fleet.FromRecord(name, record, s.epoch.Token, adopting.now), host)
-	case !s.moving[name]:
+	case !s.transfers.Moving(name):
 		adopting.add(name, record, s.epoch.Token, taken)
 	}
 }
--- a/internal/scheduler/returns.go
+++ b/internal/scheduler/returns.go
@@ -136,7 +136,7 @@
 		return
 	}
 	unannounced := map[string]bool{}
-	for _, name := range s.notices.pending {
+	for _, name := range s.transfers.Unannounced() {
 		unannounced[name] = true
 	}
 	s.goDo(func(ctx context.Context) {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -21,6 +21,7 @@
 	"heronwick/internal/duty"
 	"heronwick/internal/fleet"
 	"heronwick/internal/job"
+	"heronwick/internal/ownership"
 	"heronwick/internal/packing"
 	"heronwick/internal/queue"
 	"heronwick/internal/remote"
@@ -164,8 +165,8 @@
 	denied            remote.DeniedAttempts // hosted here never more
 	machines          map[string]*machine
 	valueLimit        *checkpoint.ValueLimit
-	checkpoints       *checkpoint.Writer // records what may be on the machines
-	moving            map[string]bool    // machines whose owner is being written
+	checkpoints       *checkpoint.Writer  // records what may be on the machines
+	transfers         ownership.Transfers // changes of owner that are not written yet
 	takeover          takeover
 	probeRate         *rate.Limiter
 	detector          *detector.Detector
@@ -175,8 +176,7 @@
 	numbers           fleet.AttemptNumbers
 	inventory         *autoscale.Inventory
 	planner           *autoscale.Planner // shares types and inventory
-	notices           releaseNotices
-	serial            uint64 // numbers what must never be named alike under one token
+	serial            uint64             // numbers what must never be named alike under one token
 	raising           bool
 	raised            time.Time
 	resolving         map[string]bool // jobs being looked up
@@ -203,7 +203,6 @@
 		answeredEarly: map[string]time.Time{}, unknownTasksSince: map[string]time.Time{}, jobs: map[string]*queue.Job{}, machines: map[string]*machine{},
 		inventory: autoscale.NewInventory(), resolving: map[string]bool{},
 		hostedJobs: map[string]*queue.Job{}, remoteAttempts: remote.NewAttempts(),
-		moving: map[string]bool{},
 	}
 	s.valueLimit = checkpoint.NewValueLimit(opts.Settings, opts.Log)
 	s.packer = packing.New(packingFleet{s})
