--- a/internal/packing/packer.go
+++ b/internal/packing/packer.go
@@ -12,6 +12,9 @@
 type Fleet interface {
 	// Machines yields all machines, in no order.
 	Machines() iter.Seq[*Machine]
+	// AnyMachine tells whether condition holds for any machine. It is called for
+	// each task that is placed, where an iterator's allocations would show.
+	AnyMachine(condition func(*Machine) bool) bool
 	// Owns tells whether a machine is still among them.
 	Owns(m *Machine) bool
 	// MaxAttempts is how many attempts a machine may have.
--- a/internal/packing/pass.go
+++ b/internal/packing/pass.go
@@ -79,10 +79,12 @@
 	if p.pass.lacks[size] {
 		return true
 	}
-	for m := range p.fleet.Machines() {
-		if p.observe(m, now); m.usable && size.Within(m.free) {
-			return false
-		}
+	hasRoom := func(m *Machine) bool {
+		p.observe(m, now)
+		return m.usable && size.Within(m.free)
+	}
+	if p.fleet.AnyMachine(hasRoom) {
+		return false
 	}
 	p.pass.lacks[size] = true
 	return true
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -54,6 +54,9 @@
 // room. It returns nil if there is room already, or none can be made.
 func (req *Request) planOn(m *fleet.Machine, now time.Time) *Plan {
 	candidates := req.candidatesOn(m)
+	if len(candidates) == 0 {
+		return nil
+	}
 	slices.SortFunc(candidates, func(a, b *fleet.Attempt) int { return cmp.Compare(lostWork(a, now), lostWork(b, now)) })
 	plan := &Plan{Machine: m}
 	if !m.HasImage(req.Image) {
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -1,9 +1,7 @@
 package scheduler
 
-import ()
-
 // drainLocked empties a machine that the cloud will take away, or whose lease
-// will lapse: replicas move at once, and what can save is stopped in time. The
+// will expire: replicas move at once, and what can save is stopped in time. The
 // rest runs on: it may finish before, and stopping it would lose it anyway.
 func (s *Scheduler) drainLocked(m *machine) {
 	for _, a := range m.Attempts.All() {
--- a/internal/scheduler/packer.go
+++ b/internal/scheduler/packer.go
@@ -20,6 +20,16 @@
 	}
 }
 
+// AnyMachine implements packing.Fleet.
+func (f packingFleet) AnyMachine(condition func(*packing.Machine) bool) bool {
+	for _, m := range f.machines {
+		if condition(m.packing) {
+			return true
+		}
+	}
+	return false
+}
+
 // Owns implements packing.Fleet.
 func (f packingFleet) Owns(p *packing.Machine) bool {
 	m := f.machines[p.Name]
