--- /dev/null
+++ b/cmd/heronwick/peerlink_test.go
@@ -0,0 +1,83 @@
+package main
+
+import (
+	"context"
+	"errors"
+
+	"google.golang.org/protobuf/proto"
+
+	"heronwick/internal/cluster/peerpb"
+)
+
+// peerLink is the connection of one controller to another. It is down while no
+// controller runs at its far end or either end is partitioned.
+type peerLink struct{ from, to *node }
+
+var errConnectionRefused = errors.New("connection refused")
+
+// remote returns the controller at the far end, nil while the link is down.
+func (l peerLink) remote() *controller {
+	if l.from.partitioned.Load() || l.to.partitioned.Load() {
+		return nil
+	}
+	return l.to.current.Load()
+}
+
+// deliver has the controller at the far end of a link handle a request, which
+// replayCalls may deliver there again.
+func deliver[Request, Reply any](l peerLink, request Request, handle func(*controller, Request) Reply) (Reply, error) {
+	c := l.remote()
+	if c == nil {
+		var none Reply
+		return none, errConnectionRefused
+	}
+	l.to.recordCall(func(c *controller) { handle(c, request) })
+	return handle(c, request), nil
+}
+
+// Heartbeat implements cluster.PeerClient.
+func (l peerLink) Heartbeat(_ context.Context, mine *peerpb.Status) (*peerpb.Status, error) {
+	reply, err := deliver(l, l.translate(mine), func(c *controller, status *peerpb.Status) *peerpb.Status {
+		return c.members.HandleHeartbeat(status)
+	})
+	if err != nil {
+		return nil, err
+	}
+	return l.translate(reply), nil
+}
+
+// translate is a status as the far end understands it: the old version neither
+// sends nor reads a feature level.
+func (l peerLink) translate(status *peerpb.Status) *peerpb.Status {
+	if l.from.oldVersion.Load() || l.to.oldVersion.Load() {
+		status = proto.CloneOf(status)
+		status.FeatureLevel = 0
+	}
+	return status
+}
+
+// Place implements scheduler.Peers for one peer.
+func (l peerLink) Place(_ context.Context, request *peerpb.PlaceRequest) (*peerpb.PlaceReply, error) {
+	return deliver(l, request, (*controller).Place)
+}
+
+// Settle implements scheduler.Peers for one peer.
+func (l peerLink) Settle(_ context.Context, request *peerpb.SettleRequest) (*peerpb.SettleReply, error) {
+	return deliver(l, request, (*controller).Settle)
+}
+
+// ReplicateCancellations implements cluster.PeerClient.
+func (l peerLink) ReplicateCancellations(_ context.Context, request *peerpb.TellRequest) (*peerpb.TellReply, error) {
+	return deliver(l, request, func(c *controller, request *peerpb.TellRequest) *peerpb.TellReply {
+		return c.members.HandleCancellations(request)
+	})
+}
+
+// Do implements state.Transport: the far end passes a request on to the key-value store.
+func (l peerLink) Do(ctx context.Context, method, target string, body []byte) (int, []byte, error) {
+	c := l.remote()
+	if c == nil {
+		return 0, nil, errConnectionRefused
+	}
+	return c.transport.DoDirect(ctx, method, target, body)
+}
