--- /dev/null
+++ b/wire/spellings_test.go
@@ -0,0 +1,66 @@
+package wire
+
+import "testing"
+
+// The paths, field names and values of the protocol: peers of every version know them
+// by these spellings. Other tests may use the constants because this one fixes them.
+func TestProtocolSpellings(t *testing.T) {
+	for _, spelling := range []struct{ got, want string }{
+		{PathTypes, "/flavors"},
+		{PathMachines, "/rentals"},
+		{PathReturn, "/rentals/return"},
+		{NoCapacity, "no capacity"},
+		{string(MachineBooting), "starting"},
+		{string(MachineRunning), "running"},
+		{string(MachineFailed), "failed"},
+		{PathDAGs, "/chains"},
+		{PathDuties, "/duties"},
+		{PathHandOver, "/duties/handover"},
+		{PathClear, "/duties/clear"},
+		{PathKeys, "/keys"},
+		{PathTxn, "/txn"},
+		{PathLeases, "/leases"},
+		{PathWatch, "/follow"},
+		{SuffixRenew, "extend"},
+		{PathJobs, "/submissions"},
+		{PathReady, "/ready"},
+		{SuffixCancel, "withdraw"},
+		{string(KindArray), "array"},
+		{string(KindService), "daemon"},
+		{string(KindGang), "ensemble"},
+		{string(PriorityProd), "prod"},
+		{string(PriorityHigh), "urgent"},
+		{string(PriorityNormal), "normal"},
+		{string(PriorityLow), "idle"},
+		{string(JobQueued), "queued"},
+		{string(JobRunning), "running"},
+		{string(JobDone), "done"},
+		{string(JobCancelled), "aborted"},
+		{PathHeartbeat, "/checkin"},
+		{PathCommands, "/orders"},
+		{PathStatus, "/show"},
+		{string(TaskFetching), "fetching"},
+		{string(TaskWaiting), "gathering"},
+		{string(TaskRunning), "running"},
+		{string(TaskSaving), "saving"},
+		{string(TaskExited), "ended"},
+		{string(ExitDone), "done"},
+		{string(ExitStopped), "stopped"},
+		{string(ExitError), "error"},
+		{string(ExitNoCapacity), "no_room"},
+		{string(ExitBusy), "busy"},
+		{string(ExitUnknown), "unknown"},
+		{string(ExitPeerLost), "peers"},
+		{string(ExitGangIncomplete), "alone"},
+		{string(OpStart), "launch"},
+		{string(OpStop), "halt"},
+		{string(OpForget), "forget"},
+		{FieldTeam, "roost"},
+		{FieldTasks, "feathers"},
+		{FieldDependencies, "follows"},
+	} {
+		if spelling.got != spelling.want {
+			t.Errorf("got %q, want %q", spelling.got, spelling.want)
+		}
+	}
+}
