--- a/cmd/heronwick/duties.go
+++ b/cmd/heronwick/duties.go
@@ -51,17 +51,17 @@
 // dutyMembership returns the epoch and this controller's part in it, as the duties
 // need them.
 func (c *controller) dutyMembership() duty.Membership {
-	epoch, condition, leads, member := c.members.View()
+	view := c.members.View()
 	membership := duty.Membership{
-		Epoch:   condition,
-		Leads:   leads && member,
+		Epoch:   view.Condition,
+		Leads:   view.Leader && view.Member,
 		Members: map[string]uint64{},
 		Fresh:   c.members.Fresh(),
 	}
-	for node, record := range epoch.Members {
+	for node, record := range view.Epoch.Members {
 		membership.Members[node] = record.Since
 	}
-	if member {
+	if view.Member {
 		membership.Since = membership.Members[c.settings.Node]
 	}
 	return membership
--- a/cmd/heronwick/membership.go
+++ b/cmd/heronwick/membership.go
@@ -99,8 +99,8 @@
 // ownsJob tells whether this controller schedules a job.
 func (c *controller) ownsJob(id string) bool {
 	record := c.jobs.Active(id)
-	epoch, _, member := c.members.Current()
-	return member && record != nil && epoch.OwnerOf(record.Job.Team, id) == c.settings.Node
+	view := c.members.View()
+	return view.Member && record != nil && view.Epoch.OwnerOf(record.Job.Team, id) == c.settings.Node
 }
 
 // errShutdown ends a controller that was asked to end.
--- a/cmd/heronwick/ratelimits.go
+++ b/cmd/heronwick/ratelimits.go
@@ -42,16 +42,16 @@
 
 // baseRates returns this controller's part of the rate limits, a second.
 func (c *controller) baseRates() (requests, writes float64) {
-	epoch, leading, member := c.members.Current()
+	view := c.members.View()
 	fraction := nonMemberFraction
 	switch {
-	case leading:
+	case view.Leader:
 		// What has ended uses nothing. One that starts is heard within a heartbeat's
 		// interval, and until then asks for no more than the burst that the store allows.
-		members := float64(max(0, len(epoch.Members)-1))
+		members := float64(max(0, len(view.Epoch.Members)-1))
 		nonMembers := max(0, float64(c.members.PeersAlive())-members)
 		fraction = max(memberFraction, 1-members*memberFraction-nonMembers*nonMemberFraction)
-	case member:
+	case view.Member:
 		fraction = memberFraction
 	}
 	return c.settings.StateRPS * fraction, c.settings.StateWriteRPS * fraction
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -113,28 +113,19 @@
 	return g.Wait()
 }
 
-// CurrentEpoch returns the epoch, and the condition that fences what is decided
-// under it.
-func (c *Cluster) CurrentEpoch() (Epoch, wire.Condition) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.epoch, c.epochConditionLocked()
-}
-
-// Current returns the epoch and whether this controller leads it and is a
-// member of it. The epoch's maps must not be changed.
-func (c *Cluster) Current() (epoch Epoch, leading, member bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.epoch, c.leadsLocked(), c.memberLocked()
+// View is the current epoch and this controller's part in it, as of one moment.
+type View struct {
+	Epoch     Epoch          // its maps must not be changed
+	Condition wire.Condition // holds while Epoch is current; fences what is decided under it
+	Leader    bool           // this controller leads the epoch
+	Member    bool           // this controller is a member of the epoch
 }
 
-// View returns the epoch, the condition that fences what is decided under it, and
-// whether this controller leads it and is a member, all as of one moment.
-func (c *Cluster) View() (epoch Epoch, condition wire.Condition, leading, member bool) {
+// View returns the current epoch and this controller's part in it.
+func (c *Cluster) View() View {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.epoch, c.epochConditionLocked(), c.leadsLocked(), c.memberLocked()
+	return View{Epoch: c.epoch, Condition: c.epochConditionLocked(), Leader: c.leadsLocked(), Member: c.memberLocked()}
 }
 
 // Token returns the fencing token under which this controller commands workers.
--- a/internal/cluster/leadership.go
+++ b/internal/cluster/leadership.go
@@ -29,7 +29,7 @@
 // confirmWithStore asks the store whether the epoch is current and reports
 // whether it is.
 func (c *Cluster) confirmWithStore(ctx context.Context) bool {
-	_, condition := c.CurrentEpoch()
+	condition := c.View().Condition
 	sent := time.Now()
 	revision, err := c.opts.Client.Txn(ctx, state.Urgent, wire.Txn{If: []wire.Condition{condition}})
 	var conflict *state.Conflict
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -44,7 +44,8 @@
 	if s.building {
 		return
 	}
-	epoch, condition := s.opts.Authority.CurrentEpoch()
+	view := s.opts.Authority.View()
+	epoch, condition := view.Epoch, view.Condition
 	mine, orphans, fresh := s.opts.Authority.OwnedMachines()
 	if !fresh {
 		return // an owner's write of the epoch before may be missing; the watch brings it
@@ -168,8 +169,7 @@
 func (s *Scheduler) fenceLocked() state.FencingCondition {
 	fence := s.epoch.condition
 	return state.FencingCondition{Condition: fence, Current: func() bool {
-		_, condition := s.opts.Authority.CurrentEpoch()
-		return condition == fence
+		return s.opts.Authority.View().Condition == fence
 	}}
 }
 
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -30,7 +30,7 @@
 		s.log.Info("rebuilding the scheduler failed, trying again", "err", err)
 		return
 	}
-	if now, _ := s.opts.Authority.CurrentEpoch(); ctx.Err() != nil || now.Token != epoch.Token {
+	if now := s.opts.Authority.View().Epoch; ctx.Err() != nil || now.Token != epoch.Token {
 		return // the next epoch starts over: what was read may be outdated
 	}
 	s.disownLocked(&epoch) // what came meanwhile by the old epoch
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -34,7 +34,7 @@
 // acts as leader or follower, the fencing token it writes under, which
 // machines it owns, and what is proven about other controllers.
 type Authority interface {
-	CurrentEpoch() (cluster.Epoch, wire.Condition)
+	View() cluster.View
 	Token() uint64
 	// FencingToken tells whether the scheduler may answer and command workers now,
 	// and under which fencing token.
