--- a/internal/cluster/ownership.go
+++ b/internal/cluster/ownership.go
@@ -93,23 +93,28 @@
 // validLocked reports whether the owner is a member of the current epoch.
 func (c *Cluster) validLocked(o Owner) bool { return o.memberIn(&c.epoch) }
 
-// OwnedMachines returns the machines that this controller owns, by name, and the
-// names of the orphans: those whose owner is no member. fresh is false while a
-// write of an older epoch may not have been seen yet.
-func (c *Cluster) OwnedMachines() (mine map[string]Owner, orphans []string, fresh bool) {
+// Ownership is what a controller knows of the owners of machines, as of one moment.
+type Ownership struct {
+	Owned   map[string]Owner // the machines that this controller owns, by name
+	Orphans []string         // names of the machines whose owner is no member
+	Fresh   bool             // every transfer of an older epoch has been seen
+}
+
+// Ownership returns what this controller knows of the owners of machines.
+func (c *Cluster) Ownership() Ownership {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	mine = map[string]Owner{}
+	ownership := Ownership{Owned: map[string]Owner{}, Fresh: c.freshLocked()}
 	for machine, o := range c.owners {
 		switch {
 		case o.Released():
 		case !c.validLocked(o):
-			orphans = append(orphans, machine)
+			ownership.Orphans = append(ownership.Orphans, machine)
 		case o.Node == c.opts.Node:
-			mine[machine] = o
+			ownership.Owned[machine] = o
 		}
 	}
-	return mine, orphans, c.freshLocked()
+	return ownership
 }
 
 // OwnerOf returns a machine's owner, member or not; named reports whether any
@@ -141,26 +146,32 @@
 
 func (c *Cluster) freshLocked() bool { return c.revision >= c.version }
 
-// TransferWrite returns the condition and the change that make node the owner of
-// machines, given by name with their records, or, with node "", mark them as gone
-// for good; ok is false if the node is no member. The write must also be
+// TransferWrite is the write of a transfer to the store. It must also be
 // conditional on the epoch: under one epoch only the current owner of a machine
 // transfers it.
-func (c *Cluster) TransferWrite(node string, machines map[string]json.RawMessage) (condition wire.Condition, change wire.Change, ok bool) {
+type TransferWrite struct {
+	Condition wire.Condition // holds while the transfer's key does not exist
+	Change    wire.Change    // puts the transfer
+}
+
+// NewTransfer returns the write that makes node the owner of machines, given by
+// name with their records, or, with node "", marks them as gone for good; ok is
+// false if the node is no member.
+func (c *Cluster) NewTransfer(node string, machines map[string]json.RawMessage) (write TransferWrite, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	since := c.epoch.Members[node].Since
 	if node != "" && since == 0 {
-		return condition, change, false
+		return TransferWrite{}, false
 	}
 	value, err := json.Marshal(Transfer{Node: node, Since: since, Token: c.epoch.Token, Machines: machines})
 	if err != nil {
-		return condition, change, false
+		return TransferWrite{}, false
 	}
 	c.transfersWritten++
 	name := strconv.FormatUint(c.transfersWritten, 10)
 	key := state.MemberKey(ownerPrefix, c.opts.Node, c.epoch.Members[c.opts.Node].Since, name)
-	return wire.Condition{Key: key}, wire.Change{Put: key, Value: value}, true
+	return TransferWrite{Condition: wire.Condition{Key: key}, Change: wire.Change{Put: key, Value: value}}, true
 }
 
 // NoteOwner applies a transfer that was written at a version, before the watch
--- a/internal/cluster/peerload.go
+++ b/internal/cluster/peerload.go
@@ -16,23 +16,30 @@
 
 func (c *Cluster) isMemberLocked(node string) bool { return c.epoch.Members[node].Since != 0 }
 
-// Totals sums the machines, idle machines, CPUs and free CPUs of the other
-// members.
-func (c *Cluster) Totals() (machines, idle int, cpus, free float64) {
+// PeerCapacity is what the machines of the other members have together.
+type PeerCapacity struct {
+	Machines int
+	CPUs     float64 // used or not
+	FreeCPUs float64
+}
+
+// PeerCapacity returns what the machines of the other members have together, by
+// the last status of each.
+func (c *Cluster) PeerCapacity() PeerCapacity {
 	c.mu.Lock()
 	defer c.mu.Unlock()
+	var capacity PeerCapacity
 	for _, status := range c.memberStatusesLocked() {
-		machines += int(status.Machines)
-		idle += int(status.Idle)
-		cpus += status.Cpus
-		free += status.FreeCpus
+		capacity.Machines += int(status.Machines)
+		capacity.CPUs += status.Cpus
+		capacity.FreeCPUs += status.FreeCpus
 	}
-	return machines, idle, cpus, free
+	return capacity
 }
 
-// Idle returns how many idle machines another controller has, 0 if its status is
+// IdleMachines returns how many idle machines another controller has, 0 if its status is
 // not known.
-func (c *Cluster) Idle(node string) int {
+func (c *Cluster) IdleMachines(node string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if p := c.peers[node]; p != nil && p.status != nil {
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -184,9 +184,9 @@
 		fleet.CPUs += m.Type.CPUs
 		fleet.FreeCPUs += m.Free().CPUs
 	}
-	peers, _, cpus, free := s.opts.Authority.Totals()
-	fleet.Usable += peers
-	fleet.PeerCPUs, fleet.PeerFreeCPUs = cpus, free
+	peers := s.opts.Authority.PeerCapacity()
+	fleet.Usable += peers.Machines
+	fleet.PeerCPUs, fleet.PeerFreeCPUs = peers.CPUs, peers.FreeCPUs
 	return fleet
 }
 
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -46,17 +46,17 @@
 	}
 	view := s.opts.Authority.View()
 	epoch, condition := view.Epoch, view.Condition
-	mine, orphans, fresh := s.opts.Authority.OwnedMachines()
-	if !fresh {
+	owners := s.opts.Authority.Ownership()
+	if !owners.Fresh {
 		return // an owner's write of the epoch before may be missing; the watch brings it
 	}
 	if s.loaded && epoch.Token != s.epoch.Token && sameAssignment(&epoch, &s.epoch.Epoch) {
 		s.takeTokenLocked(epoch, condition)
 	}
 	if epoch.Leader != s.opts.Node {
-		orphans = nil
+		owners.Orphans = nil // the leader's
 	}
-	adopt := s.machinesToAdoptLocked(mine, orphans)
+	adopt := s.machinesToAdoptLocked(owners)
 	gained := s.gainedJobsLocked(&epoch)
 	if s.loaded && epoch.Token == s.epoch.Token && len(adopt) == 0 && len(gained) == 0 && s.adopted == epoch.Token {
 		return
@@ -76,8 +76,8 @@
 // machinesToAdoptLocked returns the machines, of the scheduler's and of those without
 // an owner, of whose tasks only the records tell. Those that were handed over to it
 // idle are taken at once.
-func (s *Scheduler) machinesToAdoptLocked(mine map[string]cluster.Owner, orphans []string) (adopt []string) {
-	for name, owner := range mine {
+func (s *Scheduler) machinesToAdoptLocked(owners cluster.Ownership) (adopt []string) {
+	for name, owner := range owners.Owned {
 		switch {
 		case s.machines[name] != nil || s.transfers.Moving(name) || s.inventory.IsReleased(name):
 		case owner.Machine == nil || !s.loaded || owner.Version <= s.begun:
@@ -86,7 +86,7 @@
 			s.takeHandedOverLocked(name, owner)
 		}
 	}
-	for _, name := range orphans {
+	for _, name := range owners.Orphans {
 		if s.machines[name] == nil && !s.transfers.Moving(name) && !s.inventory.IsReleased(name) {
 			adopt = append(adopt, name)
 		}
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -38,16 +38,16 @@
 	s.mu.Lock()
 	fence := s.fenceLocked()
 	s.mu.Unlock()
-	condition, change, ok := s.opts.Authority.TransferWrite(node, records)
+	transfer, ok := s.opts.Authority.NewTransfer(node, records)
 	if !ok {
 		return fmt.Errorf("%s is no member", node)
 	}
-	version, err := s.opts.Committer.Commit(ctx, fence.Bind(state.Write{Priority: priority, If: []wire.Condition{condition},
-		Then: []wire.Change{change}, Persist: true}))
+	version, err := s.opts.Committer.Commit(ctx, fence.Bind(state.Write{Priority: priority, If: []wire.Condition{transfer.Condition},
+		Then: []wire.Change{transfer.Change}, Persist: true}))
 	if err != nil {
 		return err
 	}
-	s.opts.Authority.NoteOwner(change, version)
+	s.opts.Authority.NoteOwner(transfer.Change, version)
 	return nil
 }
 
@@ -225,7 +225,7 @@
 func (s *Scheduler) spreadIdleLocked(idle []*machine, keep int) {
 	var starving []string
 	for node := range s.epoch.Members {
-		if node != s.opts.Node && s.opts.Authority.Idle(node) == 0 && s.hasJobs(node) {
+		if node != s.opts.Node && s.opts.Authority.IdleMachines(node) == 0 && s.hasJobs(node) {
 			starving = append(starving, node)
 		}
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -41,15 +41,15 @@
 	FencingToken() (token uint64, ok bool)
 	FencedSince(token uint64) (time.Time, bool)
 	AdvanceEpoch(ctx context.Context) error
-	OwnedMachines() (mine map[string]cluster.Owner, orphans []string, fresh bool)
+	Ownership() cluster.Ownership
 	HeartbeatTarget(machine string) (node string, owned bool)
 	HostOf(epoch *cluster.Epoch, machine string) string
 	OwnerOf(machine string) (o cluster.Owner, named bool)
 	Fresh() bool
-	TransferWrite(node string, machines map[string]json.RawMessage) (wire.Condition, wire.Change, bool)
+	NewTransfer(node string, machines map[string]json.RawMessage) (write cluster.TransferWrite, ok bool)
 	NoteOwner(change wire.Change, version uint64)
-	Totals() (machines, idle int, cpus, free float64)
-	Idle(node string) int
+	PeerCapacity() cluster.PeerCapacity
+	IdleMachines(node string) int
 	PeerLoads() map[string]cluster.PeerLoad
 	UnplacedWants() []*peerpb.Want
 }
