--- a/internal/job/dependencies.go
+++ b/internal/job/dependencies.go
@@ -90,7 +90,7 @@
 // readAll reads the jobs from the key-value store and caches them.
 func (s *Store) readAll(ctx context.Context, ids []string) error {
 	for _, id := range ids {
-		if _, _, err := s.read(ctx, id); err != nil {
+		if _, err := s.read(ctx, id); err != nil {
 			return err
 		}
 	}
@@ -132,7 +132,7 @@
 		case dependency.record != nil:
 			return nil
 		}
-		_, found, err := s.read(ctx, id)
+		found, err := s.read(ctx, id)
 		if err != nil {
 			return err
 		}
--- a/internal/job/follow.go
+++ b/internal/job/follow.go
@@ -90,7 +90,7 @@
 	}
 	// What was active here and is not listed any more has ended meanwhile.
 	for _, id := range s.activeNotListed(listed, revision) {
-		if _, _, err := s.read(ctx, id); err != nil {
+		if _, err := s.read(ctx, id); err != nil {
 			return err
 		}
 	}
@@ -168,18 +168,15 @@
 // read reads a job's record from the key-value store and caches it; found is false
 // if there is none. Outcomes come first: a job that ends between the two reads is
 // found by reading them once more.
-func (s *Store) read(ctx context.Context, id string) (status wire.JobStatus, found bool, err error) {
+func (s *Store) read(ctx context.Context, id string) (found bool, err error) {
 	for range 2 {
 		for _, key := range []string{finalPrefix + id, activePrefix + id} {
-			if found, err = s.readKey(ctx, key); err != nil {
-				return wire.JobStatus{}, false, err
-			}
-			if found {
-				return s.cached(id).status, true, nil
+			if found, err = s.readKey(ctx, key); err != nil || found {
+				return found, err
 			}
 		}
 	}
-	return wire.JobStatus{}, false, nil
+	return false, nil
 }
 
 // readKey reads a record from the key-value store and caches it.
--- a/internal/job/resolver.go
+++ b/internal/job/resolver.go
@@ -47,7 +47,7 @@
 	g.SetLimit(maxLookups)
 	for _, id := range s.unresolvedIDs() {
 		g.Go(func() error {
-			_, found, err := s.read(ctx, id)
+			found, err := s.read(ctx, id)
 			if err == nil && !found {
 				s.log.Error("a job that another depends on is not in the store", "job", id)
 			}
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -27,7 +27,7 @@
 // Jobs tells which jobs are active, which are over, and which of their tasks are done.
 type Jobs interface {
 	Active(id string) *job.Record
-	Resolve(ctx context.Context, id string) (outcome job.Outcome, over, found bool, err error)
+	Resolve(ctx context.Context, id string) (job.Resolution, error)
 	ReadDone(ctx context.Context) ([]job.DoneBucket, error)
 }
 
@@ -132,11 +132,11 @@
 	g.SetLimit(maxResolving)
 	for id := range ids {
 		g.Go(func() error {
-			outcome, over, _, err := jobs.Resolve(ctx, id)
-			if over {
+			resolution, err := jobs.Resolve(ctx, id)
+			if resolution.Over {
 				mu.Lock()
 				defer mu.Unlock()
-				outcomes[id] = outcome
+				outcomes[id] = resolution.Outcome
 			}
 			return err
 		})
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -31,16 +31,16 @@
 
 // resolveJob returns false if the job could not be looked up.
 func (s *Scheduler) resolveJob(ctx context.Context, id string) bool {
-	outcome, over, found, err := s.opts.Jobs.Resolve(ctx, id)
+	resolution, err := s.opts.Jobs.Resolve(ctx, id)
 	if err != nil {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.resolving, id)
-	if over || !found {
+	if resolution.Over || !resolution.Found {
 		// When it ended is not known: perhaps long ago.
-		s.endJobLocked(id, outcome, time.Now().Add(s.opts.Settings.ReportEvery*2))
+		s.endJobLocked(id, resolution.Outcome, time.Now().Add(s.opts.Settings.ReportEvery*2))
 	}
 	return true
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -78,7 +78,7 @@
 	AllActive() []*job.Record
 	Ended(id string) bool
 	Readiness(r *job.Record) job.Readiness
-	Resolve(ctx context.Context, id string) (f job.Outcome, over, found bool, err error)
+	Resolve(ctx context.Context, id string) (job.Resolution, error)
 	ReadDone(ctx context.Context) ([]job.DoneBucket, error)
 	Finish(ctx context.Context, r *job.Record, fence state.FencingCondition) error
 	SetProgress(id string, p job.Progress)
--- a/internal/server/jobs.go
+++ b/internal/server/jobs.go
@@ -8,6 +8,7 @@
 
 	"github.com/valyala/fasthttp"
 
+	"heronwick/internal/job"
 	"heronwick/internal/placement"
 	"heronwick/wire"
 )
@@ -15,14 +16,13 @@
 // Jobs accepts, reports on and cancels jobs. An error other than a
 // *wire.FieldError says that the user should try again.
 type Jobs interface {
-	// Submit accepts a job. If it was accepted before, its status is returned and
-	// created is false. The error is a *wire.FieldError if the job cannot be
-	// accepted as it is.
-	Submit(ctx context.Context, job wire.Job) (status wire.JobStatus, created bool, err error)
+	// Submit accepts a job unless that was done before. The error is a
+	// *wire.FieldError if the job cannot be accepted as it is.
+	Submit(ctx context.Context, submitted wire.Job) (job.Submission, error)
 	// Status returns the status of a job, if there is such a job.
-	Status(ctx context.Context, id string) (status wire.JobStatus, found bool, err error)
+	Status(ctx context.Context, id string) (job.Lookup, error)
 	// Cancel cancels a job, if there is such a job, and returns its status then.
-	Cancel(ctx context.Context, id string) (status wire.JobStatus, found bool, err error)
+	Cancel(ctx context.Context, id string) (job.Lookup, error)
 }
 
 // maxUserRequests bounds the user requests in progress. Beyond it they are
@@ -54,9 +54,9 @@
 func (s *Server) submitJob(request *fasthttp.RequestCtx) {
 	ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
 	defer cancel()
-	job, err := wire.ParseJob(request.PostBody())
+	submitted, err := wire.ParseJob(request.PostBody())
 	if err != nil {
-		s.rejectJob(ctx, request, job.ID, fasthttp.StatusBadRequest, err)
+		s.rejectJob(ctx, request, submitted.ID, fasthttp.StatusBadRequest, err)
 		return
 	}
 	types := s.opts.MachineTypes()
@@ -64,26 +64,26 @@
 		s.respondUnavailable(request, errNoMachineTypes)
 		return
 	}
-	if err := s.checkRunnable(&job, types); err != nil {
-		s.rejectJob(ctx, request, job.ID, fasthttp.StatusUnprocessableEntity, err)
+	if err := s.checkRunnable(&submitted, types); err != nil {
+		s.rejectJob(ctx, request, submitted.ID, fasthttp.StatusUnprocessableEntity, err)
 		return
 	}
 	if latency := s.opts.SchedulingLatency(); latency >= maxSubmitLatency {
 		s.respondUnavailable(request, fmt.Errorf("short of processor time: scheduling latency %v", latency))
 		return
 	}
-	status, created, err := s.opts.Jobs.Submit(ctx, job)
+	submission, err := s.opts.Jobs.Submit(ctx, submitted)
 	if _, rejected := errors.AsType[*wire.FieldError](err); rejected {
-		s.rejectJob(ctx, request, job.ID, fasthttp.StatusUnprocessableEntity, err)
+		s.rejectJob(ctx, request, submitted.ID, fasthttp.StatusUnprocessableEntity, err)
 		return
 	}
 	switch {
 	case err != nil:
 		s.respondUnavailable(request, err)
-	case created:
-		s.respond(request, fasthttp.StatusCreated, status)
+	case submission.Created:
+		s.respond(request, fasthttp.StatusCreated, submission.Status)
 	default:
-		s.respond(request, fasthttp.StatusOK, status)
+		s.respond(request, fasthttp.StatusOK, submission.Status)
 	}
 }
 
@@ -92,9 +92,9 @@
 // could not be read.
 func (s *Server) rejectJob(ctx context.Context, request *fasthttp.RequestCtx, id string, code int, reason error) {
 	if id != "" {
-		status, found, err := s.opts.Jobs.Status(ctx, id)
-		if err != nil || found {
-			s.respondStatus(request, status, found, err)
+		accepted, err := s.opts.Jobs.Status(ctx, id)
+		if err != nil || accepted.Found {
+			s.respondStatus(request, accepted, err)
 			return
 		}
 	}
@@ -146,7 +146,7 @@
 
 // jobAction does something about a job, if there is such a job, and returns its
 // status.
-type jobAction func(ctx context.Context, id string) (status wire.JobStatus, found bool, err error)
+type jobAction func(ctx context.Context, id string) (job.Lookup, error)
 
 // withJob calls action for a job and answers with the status that it returns.
 func (s *Server) withJob(request *fasthttp.RequestCtx, id string, timeout time.Duration, action jobAction) {
@@ -156,18 +156,18 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	status, found, err := action(ctx, id)
-	s.respondStatus(request, status, found, err)
+	found, err := action(ctx, id)
+	s.respondStatus(request, found, err)
 }
 
 // respondStatus answers with the status of a job, if there is such a job.
-func (s *Server) respondStatus(request *fasthttp.RequestCtx, status wire.JobStatus, found bool, err error) {
+func (s *Server) respondStatus(request *fasthttp.RequestCtx, lookup job.Lookup, err error) {
 	switch {
 	case err != nil:
 		s.respondUnavailable(request, err)
-	case !found:
+	case !lookup.Found:
 		s.respondError(request, fasthttp.StatusNotFound, errNoSuchJob)
 	default:
-		s.respond(request, fasthttp.StatusOK, status)
+		s.respond(request, fasthttp.StatusOK, lookup.Status)
 	}
 }
