--- a/cmd/failovertest/handler.go
+++ b/cmd/failovertest/handler.go
@@ -20,12 +20,12 @@
 			serveMachines(request, proxy)
 			return
 		}
-		status, reply, err := proxy.Do(ctx, string(request.Method()), string(request.RequestURI()), request.PostBody())
+		response, err := proxy.Do(ctx, string(request.Method()), string(request.RequestURI()), request.PostBody())
 		if err != nil {
-			status = fasthttp.StatusServiceUnavailable
+			response.Status = fasthttp.StatusServiceUnavailable
 		}
-		request.SetStatusCode(status)
-		request.SetBody(reply)
+		request.SetStatusCode(response.Status)
+		request.SetBody(response.Body)
 	}
 }
 
--- a/internal/failovertest/proxy.go
+++ b/internal/failovertest/proxy.go
@@ -10,6 +10,7 @@
 
 	"heronwick/internal/cloud"
 	"heronwick/internal/standin"
+	"heronwick/internal/state"
 	"heronwick/wire"
 )
 
@@ -130,12 +131,12 @@
 }
 
 // Do implements state.Transport.
-func (p *Proxy) Do(ctx context.Context, method, target string, body []byte) (int, []byte, error) {
+func (p *Proxy) Do(ctx context.Context, method, target string, body []byte) (state.Response, error) {
 	before, after := freezePoints(target, body)
 	p.pauseAt(before)
-	status, reply, err := p.store.Do(ctx, method, target, body)
+	response, err := p.store.Do(ctx, method, target, body)
 	p.pauseAt(after)
-	return status, reply, err
+	return response, err
 }
 
 // deliver carries out a request to the machine service, with the fault that is drawn, and
--- a/internal/standin/state_lease.go
+++ b/internal/standin/state_lease.go
@@ -7,6 +7,7 @@
 	"strings"
 	"time"
 
+	"heronwick/internal/state"
 	"heronwick/wire"
 )
 
@@ -17,27 +18,27 @@
 }
 
 // grantLeaseLocked grants a lease of the requested TTL, which expires unless renewed.
-func (s *State) grantLeaseLocked(body []byte) (int, []byte, error) {
+func (s *State) grantLeaseLocked(body []byte) (state.Response, error) {
 	var req wire.LeaseRequest
 	if json.Unmarshal(body, &req) != nil {
-		return http.StatusBadRequest, nil, nil
+		return state.Response{Status: http.StatusBadRequest}, nil
 	}
 	s.lastLease++
 	id, ttl := s.lastLease, time.Duration(req.TTLMs)*time.Millisecond
 	s.leases[id] = &lease{ttl: ttl, timer: time.AfterFunc(ttl, func() { s.expire(id) })}
-	return http.StatusOK, encode(wire.Lease{ID: id}), nil
+	return state.Response{Status: http.StatusOK, Body: encode(wire.Lease{ID: id})}, nil
 }
 
 // renewLeaseLocked restarts the TTL of the lease whose ID is in the path; 404 once it has
 // expired.
-func (s *State) renewLeaseLocked(path string) (int, []byte, error) {
+func (s *State) renewLeaseLocked(path string) (state.Response, error) {
 	id, _ := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64)
 	l := s.leases[id]
 	if l == nil {
-		return http.StatusNotFound, nil, nil
+		return state.Response{Status: http.StatusNotFound}, nil
 	}
 	l.timer.Reset(l.ttl)
-	return http.StatusOK, []byte("{}"), nil
+	return state.Response{Status: http.StatusOK, Body: []byte("{}")}, nil
 }
 
 // expire removes a lease and its keys.
--- a/internal/state/failover.go
+++ b/internal/state/failover.go
@@ -49,36 +49,36 @@
 // Do implements Transport. After a 503, or without a connection, the request
 // was surely not carried out, and another path is tried at once; after silence
 // the caller must decide, since it may have been.
-func (f *FailoverTransport) Do(ctx context.Context, method, target string, body []byte) (int, []byte, error) {
+func (f *FailoverTransport) Do(ctx context.Context, method, target string, body []byte) (Response, error) {
 	tryDirect := f.directDue()
 	if tryDirect {
-		status, reply, err := f.DoDirect(ctx, method, target, body)
-		unsent := errors.Is(err, ErrNotSent) || err == nil && status == http.StatusServiceUnavailable
+		response, err := f.DoDirect(ctx, method, target, body)
+		unsent := errors.Is(err, ErrNotSent) || err == nil && response.Status == http.StatusServiceUnavailable
 		if !unsent {
-			return status, reply, err
+			return response, err
 		}
 	}
 	peer := f.pickPeer()
 	if peer == nil {
 		if tryDirect {
-			return http.StatusServiceUnavailable, nil, nil
+			return Response{Status: http.StatusServiceUnavailable}, nil
 		}
 		return f.DoDirect(ctx, method, target, body)
 	}
-	status, reply, err := peer.Do(ctx, method, target, body)
-	if err == nil && status != http.StatusServiceUnavailable {
+	response, err := peer.Do(ctx, method, target, body)
+	if err == nil && response.Status != http.StatusServiceUnavailable {
 		f.recordPeerAnswer()
 	}
-	return status, reply, err
+	return response, err
 }
 
 // DoDirect carries out a request by the direct path only, for example on
 // behalf of a peer: a request must not be passed on among controllers that are
 // all refused.
-func (f *FailoverTransport) DoDirect(ctx context.Context, method, target string, body []byte) (int, []byte, error) {
-	status, reply, err := f.direct.Do(ctx, method, target, body)
-	f.recordDirectResult(status, err)
-	return status, reply, err
+func (f *FailoverTransport) DoDirect(ctx context.Context, method, target string, body []byte) (Response, error) {
+	response, err := f.direct.Do(ctx, method, target, body)
+	f.recordDirectResult(response.Status, err)
+	return response, err
 }
 
 // directDue reports whether the direct path may be tried again.
