--- a/cmd/failovertest/handler.go
+++ b/cmd/failovertest/handler.go
@@ -36,7 +36,7 @@
 	switch {
 	case errors.Is(err, cloud.ErrNoCapacity):
 		request.SetStatusCode(fasthttp.StatusServiceUnavailable)
-		reply = wire.Error{Error: "no capacity"}
+		reply = wire.Error{Error: wire.NoCapacity}
 	case err != nil:
 		request.SetStatusCode(fasthttp.StatusGatewayTimeout)
 	}
