--- a/cmd/heronwick/httpserver.go
+++ b/cmd/heronwick/httpserver.go
@@ -27,18 +27,18 @@
 
 // handleWorkerHeartbeat returns the reply to a worker's heartbeat if this
 // controller may reply, and else the node that may, empty if none is known.
-func (c *controller) handleWorkerHeartbeat(heartbeat *wire.Heartbeat) (reply *wire.HeartbeatReply, redirect string) {
+func (c *controller) handleWorkerHeartbeat(heartbeat *wire.Heartbeat) server.HeartbeatResult {
 	if s := c.scheduler.Load(); s != nil {
 		if reply := s.HandleHeartbeat(heartbeat); reply != nil {
-			return reply, ""
+			return server.HeartbeatResult{Reply: reply}
 		}
 	}
 	target, _ := c.members.HeartbeatTarget(heartbeat.Machine)
 	if target == c.settings.Node {
-		return nil, ""
+		return server.HeartbeatResult{}
 	}
 	c.members.NoteWorkerHeartbeat(heartbeat.Machine)
-	return nil, target
+	return server.HeartbeatResult{Redirect: target}
 }
 
 // stateSilence is how long the key-value store may be silent before a controller
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -34,10 +34,8 @@
 	// MachineTypes returns the machine types that the cloud offers, nil while
 	// they are not known.
 	MachineTypes func() []wire.MachineType
-	// HandleHeartbeat returns the reply to a worker's heartbeat. If this
-	// controller may not reply, the reply is nil, and redirect is the node that
-	// the worker should send its heartbeats to, empty if that is not known.
-	HandleHeartbeat func(heartbeat *wire.Heartbeat) (reply *wire.HeartbeatReply, redirect string)
+	// HandleHeartbeat takes a worker's heartbeat.
+	HandleHeartbeat func(heartbeat *wire.Heartbeat) HeartbeatResult
 	// Ready tells whether this controller can take requests.
 	Ready func() bool
 	// SchedulingLatency returns how long goroutines of this process lately waited
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -9,6 +9,13 @@
 	"heronwick/wire"
 )
 
+// HeartbeatResponse is a controller's response to a heartbeat.
+type HeartbeatResponse struct {
+	Status   int                  // HTTP status; 0: there is no response
+	Reply    *wire.HeartbeatReply // with status 200
+	Redirect string               // with status 421: the node to send heartbeats to
+}
+
 // Fleet fakes the cloud and the workers on its machines, and tells a Checker what runs.
 // Its exported fields are set before Start.
 type Fleet struct {
@@ -30,9 +37,8 @@
 	Ended func(task string)
 	// Fails, if set, tells whether a job's tasks fail on a machine.
 	Fails func(job, machine string) bool
-	// Report delivers a heartbeat to a controller. It returns the HTTP status with the
-	// reply (200) or the node to report to (421).
-	Report func(node string, r *wire.Heartbeat) (status int, reply *wire.HeartbeatReply, redirect string)
+	// Report delivers a heartbeat to a controller.
+	Report func(node string, heartbeat *wire.Heartbeat) HeartbeatResponse
 	// Nodes are the controllers' names, to which heartbeats are sent.
 	Nodes []string
 	// Checker sees what runs; Start makes one if there is none.
