--- a/internal/cluster/watch.go
+++ b/internal/cluster/watch.go
@@ -67,12 +67,12 @@
 // refresh lists the keys, perhaps before the watch brings their changes.
 func (c *Cluster) refresh(ctx context.Context) error {
 	sent := time.Now()
-	items, revision, err := c.opts.Client.List(ctx, state.Urgent, prefix)
+	keys, err := c.opts.Client.List(ctx, state.Urgent, prefix)
 	if err != nil {
 		return err
 	}
-	caughtUp := c.opts.Cancellations.SyncToRevision(ctx, revision) == nil
-	if c.applyList(listing{sent: sent, items: items, revision: revision, caughtUp: caughtUp}) {
+	caughtUp := c.opts.Cancellations.SyncToRevision(ctx, keys.Revision) == nil
+	if c.applyList(listing{sent: sent, items: keys.Items, revision: keys.Revision, caughtUp: caughtUp}) {
 		c.opts.Changed()
 	}
 	return nil
--- a/internal/job/done.go
+++ b/internal/job/done.go
@@ -90,12 +90,12 @@
 
 // ReadDone reads the bitmaps of all jobs' done tasks.
 func (s *Store) ReadDone(ctx context.Context) ([]DoneBucket, error) {
-	items, _, err := s.client.List(ctx, state.Safety, donePrefix)
+	listing, err := s.client.List(ctx, state.Safety, donePrefix)
 	if err != nil {
 		return nil, fmt.Errorf("reading done tasks: %w", err)
 	}
 	var buckets []DoneBucket
-	for _, item := range items {
+	for _, item := range listing.Items {
 		bucket, err := readDoneBucket(item.Key, item.Value)
 		if err != nil {
 			return nil, err
--- a/internal/job/follow.go
+++ b/internal/job/follow.go
@@ -78,23 +78,23 @@
 
 // load reads all active jobs.
 func (s *Store) load(ctx context.Context) error {
-	items, revision, err := s.client.List(ctx, state.Safety, activePrefix)
+	listing, err := s.client.List(ctx, state.Safety, activePrefix)
 	if err != nil {
 		return err
 	}
 	listed := map[string]bool{}
-	for _, item := range items {
+	for _, item := range listing.Items {
 		id, _ := IsActive(item.Key)
 		listed[id] = true
 		s.apply(item.Key, item.Value, item.Version)
 	}
 	// What was active here and is not listed any more has ended meanwhile.
-	for _, id := range s.activeNotListed(listed, revision) {
+	for _, id := range s.activeNotListed(listed, listing.Revision) {
 		if _, err := s.read(ctx, id); err != nil {
 			return err
 		}
 	}
-	s.finishLoad(revision)
+	s.finishLoad(listing.Revision)
 	return nil
 }
 
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -21,7 +21,7 @@
 
 // Store reads the machines' records from the key-value store.
 type Store interface {
-	List(ctx context.Context, p state.Priority, prefix string) ([]wire.Item, uint64, error)
+	List(ctx context.Context, p state.Priority, prefix string) (state.Listing, error)
 }
 
 // Jobs tells which jobs are active, which are over, and which of their tasks are done.
@@ -71,12 +71,12 @@
 
 // readBuckets lists the buckets of machines' records.
 func readBuckets(ctx context.Context, store Store) ([]Bucket, error) {
-	items, _, err := store.List(ctx, state.Urgent, fleet.RecordPrefix)
+	listing, err := store.List(ctx, state.Urgent, fleet.RecordPrefix)
 	if err != nil {
 		return nil, err
 	}
-	buckets := make([]Bucket, 0, len(items))
-	for _, item := range items {
+	buckets := make([]Bucket, 0, len(listing.Items))
+	for _, item := range listing.Items {
 		bucket, err := fleet.ReadBucket(item.Key, item.Value)
 		if err != nil {
 			return nil, err
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -87,7 +87,7 @@
 // Records reads the machines' records from the consensus-backed key-value store.
 type Records interface {
 	Get(ctx context.Context, p state.Priority, key string) (wire.Item, error)
-	List(ctx context.Context, p state.Priority, prefix string) ([]wire.Item, uint64, error)
+	List(ctx context.Context, p state.Priority, prefix string) (state.Listing, error)
 }
 
 // Committer writes to the consensus-backed key-value store; several writes
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -47,21 +47,27 @@
 	return item, err
 }
 
-// List reads every key under prefix and the revision of the first page: a
-// watch from there misses nothing.
-func (c *Client) List(ctx context.Context, p Priority, prefix string) (items []wire.Item, revision uint64, err error) {
+// Listing holds all keys under a prefix.
+type Listing struct {
+	Items    []wire.Item
+	Revision uint64 // of the first page: a watch from there misses nothing
+}
+
+// List reads every key under prefix.
+func (c *Client) List(ctx context.Context, p Priority, prefix string) (Listing, error) {
+	var listing Listing
 	after := ""
 	for page := 0; ; page++ {
 		var list wire.ItemList
 		if _, err := c.call(ctx, p, http.MethodGet, listTarget(prefix, after), nil, &list); err != nil {
-			return nil, 0, err
+			return Listing{}, err
 		}
 		if page == 0 {
-			revision = list.Revision
+			listing.Revision = list.Revision
 		}
-		items = append(items, list.Items...)
+		listing.Items = append(listing.Items, list.Items...)
 		if !list.More || len(list.Items) == 0 {
-			return items, revision, nil
+			return listing, nil
 		}
 		after = list.Items[len(list.Items)-1].Key
 	}
