--- a/internal/duty/intents.go
+++ b/internal/duty/intents.go
@@ -39,8 +39,8 @@
 	defer l.mu.Unlock()
 	var machines []string
 	for machine, key := range l.machines {
-		node, since, ok := state.MemberOfKey(returnPrefix, key)
-		if !ok || !current(node, since) || l.supersededLocked(l.entries[key].returnIntent) {
+		owner, ok := state.OwnerOfKey(returnPrefix, key)
+		if !ok || !current(owner.Node, owner.Since) || l.supersededLocked(l.entries[key].returnIntent) {
 			machines = append(machines, machine)
 		}
 	}
@@ -55,19 +55,26 @@
 	return err == nil && id.Scope == Fleet && l.holders[id].token != intent.Token
 }
 
+// OpenIntents counts intents that are not closed.
+type OpenIntents struct {
+	Returns int // of machines
+	Rentals int
+}
+
 // OpenIntents counts the intents of all controllers that are not closed.
-func (l *Ledger) OpenIntents() (returns, rentals int) {
+func (l *Ledger) OpenIntents() OpenIntents {
 	l.mu.Lock()
 	defer l.mu.Unlock()
+	var open OpenIntents
 	for _, e := range l.entries {
 		if e.returnIntent != nil {
-			returns++
+			open.Returns++
 		}
 		if e.rentalIntent != nil {
-			rentals++
+			open.Rentals++
 		}
 	}
-	return returns, rentals
+	return open
 }
 
 // openReturns returns the open intents to return, by key.
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -47,11 +47,10 @@
 	return strings.HasPrefix(key[strings.LastIndexByte(key, '/')+1:], journalMark)
 }
 
-// BucketOwner returns the member whose bucket a key is, and since when it was a
-// member. ok is false for a key of the earlier form, which holds one machine and
-// has no owner.
-func BucketOwner(key string) (node string, since uint64, ok bool) {
-	return state.MemberOfKey(RecordPrefix, key)
+// BucketOwner returns the membership whose bucket a key is. ok is false for a key of
+// the earlier form, which holds one machine and has no owner.
+func BucketOwner(key string) (owner state.KeyOwner, ok bool) {
+	return state.OwnerOfKey(RecordPrefix, key)
 }
 
 // ReadBucket decodes the value of a key, also in the earlier form: the record of
--- a/internal/job/done.go
+++ b/internal/job/done.go
@@ -67,11 +67,10 @@
 	return state.MemberKey(donePrefix, node, since, strconv.FormatUint(n, 10))
 }
 
-// DoneBucketOwner returns the member whose bucket a key is, and since when it was a
-// member. ok is false for a key of the earlier form, which holds one block and has no
-// owner.
-func DoneBucketOwner(key string) (node string, since uint64, ok bool) {
-	return state.MemberOfKey(donePrefix, key)
+// DoneBucketOwner returns the membership whose bucket a key is. ok is false for a key
+// of the earlier form, which holds one block and has no owner.
+func DoneBucketOwner(key string) (owner state.KeyOwner, ok bool) {
+	return state.OwnerOfKey(donePrefix, key)
 }
 
 // bucketOverhead is how many bytes a bucket takes besides its entries at most.
@@ -113,7 +112,7 @@
 	if err := json.Unmarshal(value, &bucket); err != nil {
 		return bucket, fmt.Errorf("done tasks under %s: %w", key, err)
 	}
-	if _, _, ok := DoneBucketOwner(key); ok {
+	if _, ok := DoneBucketOwner(key); ok {
 		return bucket, nil
 	}
 	var earlier struct {
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -98,7 +98,7 @@
 		return
 	}
 	for i := range done {
-		if node, since, ok := job.DoneBucketOwner(done[i].Key); !ok || s.epoch.Members[node].Since != since {
+		if owner, ok := job.DoneBucketOwner(done[i].Key); !ok || s.epoch.Members[owner.Node].Since != owner.Since {
 			s.completions.TakeOver(&done[i], s.opts.Jobs.Active, s.completionOf)
 		}
 	}
@@ -228,8 +228,8 @@
 	if s.checkpoints.Bucket(stored.Key) != nil {
 		return nil
 	}
-	node, since, ok := fleet.BucketOwner(stored.Key)
-	if s.epoch.Leader != s.opts.Node || ok && s.epoch.Members[node].Since == since {
+	owner, ok := fleet.BucketOwner(stored.Key)
+	if s.epoch.Leader != s.opts.Node || ok && s.epoch.Members[owner.Node].Since == owner.Since {
 		return nil
 	}
 	return s.checkpoints.AdoptBucket(stored.Key, stored.Version, stored.Size)
--- a/internal/state/keys.go
+++ b/internal/state/keys.go
@@ -13,15 +13,21 @@
 	return fmt.Sprintf("%s%s/%d/%s", prefix, node, since, name)
 }
 
-// MemberOfKey returns the membership that writes a key made by MemberKey; ok is
+// KeyOwner is the membership that alone writes a key made by MemberKey.
+type KeyOwner struct {
+	Node  string
+	Since uint64 // epoch token of the membership
+}
+
+// OwnerOfKey returns the membership that writes a key made by MemberKey; ok is
 // false for a key of another form.
-func MemberOfKey(prefix, key string) (node string, since uint64, ok bool) {
+func OwnerOfKey(prefix, key string) (owner KeyOwner, ok bool) {
 	parts := strings.Split(strings.TrimPrefix(key, prefix), "/")
 	if len(parts) != 3 {
-		return "", 0, false
+		return KeyOwner{}, false
 	}
 	since, err := strconv.ParseUint(parts[1], 10, 64)
-	return parts[0], since, err == nil
+	return KeyOwner{Node: parts[0], Since: since}, err == nil
 }
 
 // NamesThatFit returns how many of the names fit a value of limit bytes, at
