--- a/cmd/heronwick/membership.go
+++ b/cmd/heronwick/membership.go
@@ -81,7 +81,7 @@
 	c.setRates()
 	c.duties.keeper.Poke()
 	if s := c.scheduler.Load(); s != nil {
-		s.Changed()
+		s.EpochChanged()
 	}
 }
 
--- a/internal/autoscale/returner.go
+++ b/internal/autoscale/returner.go
@@ -17,17 +17,17 @@
 
 // The reasons to return a machine.
 const (
-	NotReturned          ReturnReason = ""
-	ReasonIdle           ReturnReason = "idle"
-	ReasonFailed         ReturnReason = "failed"
-	ReasonNeverBooted    ReturnReason = "never came up"
-	ReasonRecordedBefore ReturnReason = "condemned by its owner before"
-	ReasonLost           ReturnReason = "lost"
-	ReasonOverdueTask    ReturnReason = "a cancelled task may still be on it"
-	ReasonUnreachable    ReturnReason = "nothing reaches it"
-	ReasonQuarantined    ReturnReason = "set aside"
-	ReasonCannotReport   ReturnReason = "it reaches nobody"
-	ReasonRestarted      ReturnReason = "its worker has started anew"
+	NotReturned             ReturnReason = ""
+	ReasonIdle              ReturnReason = "idle"
+	ReasonFailed            ReturnReason = "failed"
+	ReasonNeverBooted       ReturnReason = "never came up"
+	ReasonRecordedBefore    ReturnReason = "condemned by its owner before"
+	ReasonLost              ReturnReason = "lost"
+	ReasonOverdueTask       ReturnReason = "a cancelled task may still be on it"
+	ReasonUnreachable       ReturnReason = "nothing reaches it"
+	ReasonQuarantined       ReturnReason = "set aside"
+	ReasonSendsNoHeartbeats ReturnReason = "it reaches nobody"
+	ReasonRestarted         ReturnReason = "its worker has started anew"
 )
 
 const (
--- a/internal/completion/flush.go
+++ b/internal/completion/flush.go
@@ -64,9 +64,9 @@
 
 // bucketWrite is one write of a bucket.
 type bucketWrite struct {
-	bucket *bucket
-	write  state.Write
-	blocks []writtenBlock
+	bucket  *bucket
+	request state.Write
+	blocks  []writtenBlock
 }
 
 // writtenBlock is a block of a job that a write contains for the first time.
@@ -93,8 +93,8 @@
 			due[b] = &bucketWrite{bucket: b}
 		}
 	}
-	for _, w := range due {
-		t.startWrite(w)
+	for _, write := range due {
+		t.startWrite(write)
 	}
 }
 
@@ -122,23 +122,23 @@
 }
 
 // startWrite writes a bucket, or removes one that is empty.
-func (t *Table) startWrite(w *bucketWrite) {
-	b := w.bucket
-	write := state.Write{Priority: flushPriority, Persist: true, If: []wire.Condition{{Key: b.key, Version: b.version}}}
+func (t *Table) startWrite(write *bucketWrite) {
+	b := write.bucket
+	request := state.Write{Priority: flushPriority, Persist: true, If: []wire.Condition{{Key: b.key, Version: b.version}}}
 	if b.empty() {
 		guard, err := t.scheduler.CleanupGuard()
 		if err != nil {
 			t.buckets[b.key] = b // removed later
 			return
 		}
-		write.Then = []wire.Change{{Delete: b.key}}
-		write = guard.Bind(write)
+		request.Then = []wire.Change{{Delete: b.key}}
+		request = guard.Bind(request)
 	} else {
-		write.Then = []wire.Change{{Put: b.key, Value: t.encode(b)}}
+		request.Then = []wire.Change{{Put: b.key, Value: t.encode(b)}}
 	}
 	b.committing = true
-	w.write = t.scheduler.Fence(write)
-	t.scheduler.Go(func(ctx context.Context) { t.commit(ctx, w) })
+	write.request = t.scheduler.Fence(request)
+	t.scheduler.Go(func(ctx context.Context) { t.commit(ctx, write) })
 }
 
 func (t *Table) encode(b *bucket) json.RawMessage {
@@ -151,19 +151,19 @@
 
 // commit commits a write and takes its result. The scheduler's lock is not held
 // meanwhile.
-func (t *Table) commit(ctx context.Context, w *bucketWrite) {
-	version, known, err := t.scheduler.Commit(ctx, w.bucket.key, w.write)
+func (t *Table) commit(ctx context.Context, write *bucketWrite) {
+	version, known, err := t.scheduler.Commit(ctx, write.bucket.key, write.request)
 	t.scheduler.Lock()
 	defer t.scheduler.Unlock()
-	w.bucket.committing = false
+	write.bucket.committing = false
 	if known {
-		w.bucket.version = version
+		write.bucket.version = version
 	}
 	if err != nil {
-		t.writeFailed(w, err)
+		t.writeFailed(write, err)
 		return
 	}
-	for _, written := range w.blocks {
+	for _, written := range write.blocks {
 		for _, a := range written.attempts {
 			a.Handled = true
 		}
@@ -171,14 +171,14 @@
 }
 
 // writeFailed leaves what a failed write contained to the next flush.
-func (t *Table) writeFailed(w *bucketWrite, err error) {
-	b := w.bucket
+func (t *Table) writeFailed(write *bucketWrite, err error) {
+	b := write.bucket
 	if b.empty() && b.version > 0 && t.buckets[b.key] == nil {
 		t.buckets[b.key] = b // else it would stay in the store for ever
 	}
 	t.log.Debug("writing done tasks failed", "key", b.key, "err", err)
 	t.scheduler.NoteRejected(err)
-	for _, failed := range w.blocks {
+	for _, failed := range write.blocks {
 		j := failed.job
 		j.unwritten[failed.block] = append(j.unwritten[failed.block], failed.attempts...)
 		j.dirty[failed.block] = true
--- a/internal/packing/machine.go
+++ b/internal/packing/machine.go
@@ -26,8 +26,8 @@
 	return &Machine{Machine: m, accepts: accepts}
 }
 
-// Changed notes that attempts have come to the machine or gone from it.
-func (m *Machine) Changed() { m.observed = 0 }
+// RoomChanged notes that attempts have come to the machine or gone from it.
+func (m *Machine) RoomChanged() { m.observed = 0 }
 
 // reservation is room on a machine that is kept for one task of a hosted job,
 // until its owner asks for it again.
--- a/internal/queue/job.go
+++ b/internal/queue/job.go
@@ -51,10 +51,10 @@
 
 	Requested int // tasks that another scheduler is being asked to take
 
-	Hosted          bool
-	OwnerGuaranteed bool      // hosted: its owner says that it is within its team's guarantee
-	OwnerUnplaced   int       // hosted: how many of its tasks its owner has no room for
-	OwnerAskedAt    time.Time // and when it last said so
+	Hosted           bool
+	OwnerGuaranteed  bool      // hosted: its owner says that it is within its team's guarantee
+	OwnerUnplaced    int       // hosted: how many of its tasks its owner has no room for
+	OwnerRequestedAt time.Time // and when it last said so
 }
 
 // NewJob returns a job none of whose tasks is placed or done. objectives are
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -42,8 +42,8 @@
 }
 
 // sizeOf is what each task of a job took that is over.
-func sizeOf(f job.Outcome) placement.Resources {
-	return placement.Resources{CPUs: f.CPUs, GPUs: f.GPUs, MemoryGB: f.MemoryGB}
+func sizeOf(outcome job.Outcome) placement.Resources {
+	return placement.Resources{CPUs: outcome.CPUs, GPUs: outcome.GPUs, MemoryGB: outcome.MemoryGB}
 }
 
 // countAttemptLocked counts an attempt that may be on a machine in the zone, for
@@ -102,7 +102,7 @@
 		}
 	}
 	if a.Why == wire.ExitNoCapacity || a.Why == wire.ExitBusy {
-		m.cooling = now.Add(refusedMachineDelay)
+		m.placeNotBefore = now.Add(refusedMachineDelay)
 	}
 	s.attemptEndedLocked(a, now)
 }
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -164,10 +164,10 @@
 	s.idleReserve = autoscale.IdleReserve(fleet.Usable)
 	requests := s.planner.Plan(fleet, s.demandLocked(now), now)
 	for i := range requests {
-		s.serial++
+		s.lastSerial++
 		// Tokens are used once and the count only rises under one, so no
 		// request name ever comes again.
-		requests[i].Request = fmt.Sprintf("heronwick-%s-%d-%d", s.opts.Node, s.epoch.Token, s.serial)
+		requests[i].Request = fmt.Sprintf("heronwick-%s-%d-%d", s.opts.Node, s.epoch.Token, s.lastSerial)
 	}
 	return requests
 }
--- a/internal/scheduler/checkpoints.go
+++ b/internal/scheduler/checkpoints.go
@@ -48,8 +48,8 @@
 
 // writeMarkLocked returns what no other write bears.
 func (s *Scheduler) writeMarkLocked() string {
-	s.serial++ // any number that never comes again under this token
-	return fmt.Sprintf("%s-%d-%d", s.opts.Node, s.epoch.Token, s.serial)
+	s.lastSerial++ // any number that never comes again under this token
+	return fmt.Sprintf("%s-%d-%d", s.opts.Node, s.epoch.Token, s.lastSerial)
 }
 
 // checkpointScheduler is what the Writer of machines' records sees of the scheduler.
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -35,8 +35,8 @@
 // sendLocked sends a worker what it should be told, without waiting for its
 // next heartbeat.
 func (s *Scheduler) sendLocked(m *machine) {
-	if m.sending {
-		m.sendAgain = true
+	if m.commandPending {
+		m.commandAgain = true
 		return
 	}
 	token, permitted := s.opts.Authority.FencingToken()
@@ -47,21 +47,21 @@
 	if req == nil {
 		return
 	}
-	m.sending = true
+	m.commandPending = true
 	address := m.Address
 	s.goDo(func(ctx context.Context) {
 		heartbeat, err := s.command(ctx, address, req)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		m.sending = false
+		m.commandPending = false
 		m.DirectRequestDone(req, err == nil || errors.Is(err, fleet.ErrNoSocket))
 		if !s.answeredLocked(m, err) {
-			m.sendAgain = false
+			m.commandAgain = false
 			return
 		}
 		s.applyLocked(m, heartbeat)
-		if m.sendAgain {
-			m.sendAgain = false
+		if m.commandAgain {
+			m.commandAgain = false
 			s.sendLocked(m)
 		}
 	})
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -41,7 +41,7 @@
 // followEpochLocked follows the epoch and the owners of machines: what is the
 // scheduler's now is rebuilt, what is no longer its own is let go.
 func (s *Scheduler) followEpochLocked() {
-	if s.building {
+	if s.rebuilding {
 		return
 	}
 	view := s.opts.Authority.View()
@@ -58,17 +58,17 @@
 	}
 	adopt := s.machinesToAdoptLocked(owners)
 	gained := s.gainedJobsLocked(&epoch)
-	if s.loaded && epoch.Token == s.epoch.Token && len(adopt) == 0 && len(gained) == 0 && s.adopted == epoch.Token {
+	if s.loaded && epoch.Token == s.epoch.Token && len(adopt) == 0 && len(gained) == 0 && s.adoptedToken == epoch.Token {
 		return
 	}
-	s.building = true
+	s.rebuilding = true
 	s.goDo(func(ctx context.Context) { s.rebuild(ctx, epoch, condition, gained, adopt) })
 }
 
 // takeTokenLocked takes an epoch in which only the fencing token has risen.
 func (s *Scheduler) takeTokenLocked(epoch cluster.Epoch, condition wire.Condition) {
-	if s.adopted == s.epoch.Token {
-		s.adopted = epoch.Token
+	if s.adoptedToken == s.epoch.Token {
+		s.adoptedToken = epoch.Token
 	}
 	s.epoch.Epoch, s.epoch.condition, s.epoch.raisedAt = epoch, condition, time.Now()
 }
@@ -80,7 +80,7 @@
 	for name, owner := range owners.Owned {
 		switch {
 		case s.machines[name] != nil || s.transfers.Moving(name) || s.inventory.IsReleased(name):
-		case owner.Machine == nil || !s.loaded || owner.Version <= s.begun:
+		case owner.Machine == nil || !s.loaded || owner.Version <= s.startVersion:
 			adopt = append(adopt, name) // it may have had tasks since that was written
 		default:
 			s.takeHandedOverLocked(name, owner)
@@ -124,7 +124,7 @@
 
 func (s *Scheduler) takeEpochLocked(epoch cluster.Epoch, condition wire.Condition) {
 	if s.beginsToLeadLocked(&epoch) {
-		s.ledSince = time.Now()
+		s.leaderSince = time.Now()
 	}
 	if !s.loaded || !sameAssignment(&epoch, &s.epoch.Epoch) {
 		s.epoch.assigned, s.epoch.assignedToken = condition, epoch.Token
@@ -210,7 +210,7 @@
 		return nil, false
 	}
 	_, named := s.opts.Authority.OwnerOf(name)
-	if owned || named || !s.opts.Authority.Fresh() || !s.loaded || s.adopted != s.opts.Authority.Token() {
+	if owned || named || !s.opts.Authority.Fresh() || !s.loaded || s.adoptedToken != s.opts.Authority.Token() {
 		// Handed over a moment ago, or perhaps one with tasks whose owner has gone.
 		s.recheckEpoch()
 		return nil, true
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -71,13 +71,13 @@
 // for good, each leader otherwise resigned in turn, and none led for long enough
 // to find out.
 func (s *Scheduler) resignIfPartitionedLocked(assessment *detector.Assessment, now time.Time) {
-	if !s.detector.Partitioned() || !s.leadsLocked() || now.Sub(s.resigned) <= resignAfter {
+	if !s.detector.Partitioned() || !s.leadsLocked() || now.Sub(s.resignedAt) <= resignAfter {
 		return
 	}
 	elsewhere := s.opts.Elsewhere()
-	settled := now.Sub(s.ledSince) > resignAfter && elsewhere > len(s.machines)/3
+	settled := now.Sub(s.leaderSince) > resignAfter && elsewhere > len(s.machines)/3
 	if settled || elsewhere > assessment.Reachable {
-		s.resigned = now
+		s.resignedAt = now
 		s.goDo(s.opts.Resign)
 	}
 }
@@ -97,8 +97,8 @@
 // expired; not ok: another controller may still answer the worker.
 func (s *Scheduler) leaseExpiryLocked(m *machine) (expiry time.Time, ok bool) {
 	var fenced time.Time
-	if m.fence > 0 {
-		if fenced, ok = s.opts.Authority.FencedSince(m.fence); !ok {
+	if m.fenceToken > 0 {
+		if fenced, ok = s.opts.Authority.FencedSince(m.fenceToken); !ok {
 			return time.Time{}, false
 		}
 	}
@@ -121,7 +121,7 @@
 	case m.quarantined && m.ActiveCount() == 0:
 		return autoscale.ReasonQuarantined
 	case m.ActiveCount() == 0 && assessment.HeartbeatsMissingForGood(&m.Worker):
-		return autoscale.ReasonCannotReport
+		return autoscale.ReasonSendsNoHeartbeats
 	}
 	return autoscale.NotReturned
 }
@@ -152,16 +152,16 @@
 
 // raiseLocked raises the fencing token, now and then.
 func (s *Scheduler) raiseLocked(now time.Time) {
-	if s.raising || now.Sub(s.raised) <= raiseEvery {
+	if s.raisingToken || now.Sub(s.raiseAttemptedAt) <= raiseEvery {
 		return
 	}
-	s.raising, s.raised = true, now
+	s.raisingToken, s.raiseAttemptedAt = true, now
 	s.goDo(func(ctx context.Context) {
 		if err := s.opts.Authority.AdvanceEpoch(ctx); err != nil {
 			s.log.Info("raising the token failed", "err", err)
 		}
 		s.mu.Lock()
-		s.raising = false
+		s.raisingToken = false
 		s.mu.Unlock()
 	})
 }
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -29,7 +29,7 @@
 	m := s.addMachineLocked(fleet.FromRecord(name, r, s.epoch.Token, now), now)
 	// Its owner before answered its worker for the last time before it handed
 	// the machine over, and under this token or an older one.
-	m.base, m.fence, m.LastReply, m.HeartbeatSeen = 0, 0, now, true
+	m.syncToken, m.fenceToken, m.LastReply, m.HeartbeatSeen = 0, 0, now, true
 }
 
 // transfer makes node the owner of the machines of records, or, with no node,
@@ -79,7 +79,7 @@
 // canHandOverLocked tells whether a machine can change to another controller:
 // idle, and nothing that this one has sent can still come to it.
 func (s *Scheduler) canHandOverLocked(m *machine, now time.Time) bool {
-	return s.usableLocked(m, now) && m.Idle() && !m.record.Dirty && !m.sending && !m.RequestPending()
+	return s.usableLocked(m, now) && m.Idle() && !m.record.Dirty && !m.commandPending && !m.RequestPending()
 }
 
 // handoverCandidatesLocked returns the machines that can change to another
@@ -177,10 +177,10 @@
 // controllers without one. A controller that starves gets them at once, see
 // Place.
 func (s *Scheduler) rebalanceIdleLocked(now time.Time) {
-	if !s.loaded || !s.permitted() || now.Sub(s.rebalanced) < rebalanceEvery {
+	if !s.loaded || !s.permitted() || now.Sub(s.rebalancedAt) < rebalanceEvery {
 		return
 	}
-	s.rebalanced = now
+	s.rebalancedAt = now
 	s.forgetOldMachinesLocked(now)
 	if s.gathersForGangLocked() {
 		return
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -32,7 +32,7 @@
 			// its owner counts as expired.
 			return nil
 		}
-		s.answeredEarly[heartbeat.Machine] = now
+		s.answeredUnadopted[heartbeat.Machine] = now
 		reply.Commands = s.stopEndedJobsLocked(heartbeat)
 		return reply // keeps its lease while its machine is being taken
 	}
--- a/internal/scheduler/hosting.go
+++ b/internal/scheduler/hosting.go
@@ -72,7 +72,7 @@
 	r := &jobRequest{from: from, overloaded: overloaded, record: record, job: s.hostedJobLocked(record, wanted), wanted: wanted}
 	for _, at := range wanted.Attempts {
 		_, index, ok := wire.SplitTaskID(at.Task)
-		if !ok || s.denied.Denied(remote.KeyOf(at)) {
+		if !ok || s.deniedAttempts.Denied(remote.KeyOf(at)) {
 			continue
 		}
 		if !s.hostNextLocked(r, at, index, reply, now) {
@@ -80,7 +80,7 @@
 		}
 	}
 	if r.placed < len(wanted.Attempts) && !wanted.Held {
-		r.job.OwnerUnplaced, r.job.OwnerAskedAt = r.pending(), now
+		r.job.OwnerUnplaced, r.job.OwnerRequestedAt = r.pending(), now
 	}
 }
 
@@ -155,7 +155,7 @@
 	a := &fleet.Attempt{Key: remote.KeyOf(at), Job: id, Index: index, Hosted: true, Epoch: s.epoch.Token}
 	a.Describe(&r.record.Job, r.job.EffectivePriority)
 	m.Add(a, now)
-	m.packing.Changed()
+	m.packing.RoomChanged()
 	m.record.Dirty = true
 	m.packing.UseReservation(id)
 	r.job.Zones[m.Zone]++
@@ -236,14 +236,14 @@
 	for _, at := range req.Attempts {
 		reply.Hosted = append(reply.Hosted, s.settledLocked(at, here, now))
 	}
-	s.denied.Expire(now)
+	s.deniedAttempts.Expire(now)
 	return reply
 }
 
 // maySettleLocked tells whether this scheduler knows all that may be on its
 // machines, as the membership that the sender means.
 func (s *Scheduler) maySettleLocked(req *peerpb.SettleRequest) bool {
-	adopting := s.epoch.Leader == s.opts.Node && s.adopted < req.Token
+	adopting := s.epoch.Leader == s.opts.Node && s.adoptedToken < req.Token
 	return s.loaded && s.epoch.Token >= req.Token && s.epoch.Members[s.opts.Node].Since == req.Since && !adopting
 }
 
@@ -253,7 +253,7 @@
 	key := remote.KeyOf(at)
 	found := here[key]
 	if found.attempt == nil {
-		s.denied.Deny(key, now)
+		s.deniedAttempts.Deny(key, now)
 		return &peerpb.Hosted{Attempt: at}
 	}
 	return &peerpb.Hosted{Attempt: at, Known: true, Zone: found.machine.Zone,
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -16,10 +16,10 @@
 // resolveJobLocked looks up a job that is not among the active ones, since tasks
 // of it may be on machines: it is over, or only not heard of yet.
 func (s *Scheduler) resolveJobLocked(id string) {
-	if s.resolving[id] {
+	if s.resolvingJobs[id] {
 		return
 	}
-	s.resolving[id] = true
+	s.resolvingJobs[id] = true
 	s.goDo(func(ctx context.Context) {
 		for !s.resolveJob(ctx, id) {
 			if !wait.Sleep(ctx, resolveRetry) {
@@ -37,7 +37,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.resolving, id)
+	delete(s.resolvingJobs, id)
 	if resolution.Over || !resolution.Found {
 		// When it ended is not known: perhaps long ago.
 		s.endJobLocked(id, resolution.Outcome, time.Now().Add(s.opts.Settings.ReportEvery*2))
--- a/internal/scheduler/overloadshed.go
+++ b/internal/scheduler/overloadshed.go
@@ -21,9 +21,9 @@
 // lately.
 func (s *Scheduler) overloadedLocked(now time.Time) bool {
 	if s.detector.Busy(time.Now()) {
-		s.overloaded = now
+		s.overloadedAt = now
 	}
-	return now.Sub(s.overloaded) < overloadedFor
+	return now.Sub(s.overloadedAt) < overloadedFor
 }
 
 // shedIdleMachinesLocked hands idle machines over to the controller with the
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -63,7 +63,7 @@
 	}
 	for _, b := range slices.Backward(booked) {
 		b.machine.Attempts.Delete(b.attempt.Key)
-		b.machine.packing.Changed()
+		b.machine.packing.RoomChanged()
 		b.machine.record.Dirty = b.wasDirty
 		s.releaseAttemptLocked(b.attempt)
 		s.closeIfEmptyLocked(b.machine)
@@ -154,7 +154,7 @@
 // acceptsLocked tells whether new tasks may go to the machine, if there is room.
 func (s *Scheduler) acceptsLocked(m *machine, now time.Time) bool {
 	return s.synced(m) && m.Type != nil && !m.returning && !m.returnIntent && !m.quarantined && m.Responsive() &&
-		m.Notice.IsZero() && !now.Before(m.cooling) && now.Sub(m.LastHeartbeat) < s.detector.SuspectAfter() && !s.detector.HeartbeatsMissing(&m.Worker, now)
+		m.Notice.IsZero() && !now.Before(m.placeNotBefore) && now.Sub(m.LastHeartbeat) < s.detector.SuspectAfter() && !s.detector.HeartbeatsMissing(&m.Worker, now)
 }
 
 // usableLocked tells whether new tasks may go to the machine at all.
@@ -171,7 +171,7 @@
 func (s *Scheduler) placeLocked(queued *queue.Job, index int, m *machine, now time.Time) *fleet.Attempt {
 	a := s.newAttempt(queued, index)
 	m.Add(a, now)
-	m.packing.Changed()
+	m.packing.RoomChanged()
 	s.countAttemptLocked(m.Zone, a)
 	m.record.Dirty = true
 	s.log.Debug("placed", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "image_held", m.HasImage(a.Image))
@@ -181,7 +181,7 @@
 // numbersLeftLocked makes sure that there are numbers for attempts under the
 // token, and returns false while there are not.
 func (s *Scheduler) numbersLeftLocked(now time.Time) bool {
-	left := s.numbers.Left(s.epoch.Token)
+	left := s.attemptNumbers.Left(s.epoch.Token)
 	if left < fleet.FewAttemptNumbers {
 		s.raiseLocked(now)
 	}
@@ -190,7 +190,7 @@
 
 func (s *Scheduler) newAttempt(queued *queue.Job, index int) *fleet.Attempt {
 	j := &queued.Record.Job
-	a := &fleet.Attempt{Key: fleet.Key{Task: wire.TaskID(j.ID, index), Attempt: s.numbers.Next(s.epoch.Token)}, Job: j.ID, Index: index}
+	a := &fleet.Attempt{Key: fleet.Key{Task: wire.TaskID(j.ID, index), Attempt: s.attemptNumbers.Next(s.epoch.Token)}, Job: j.ID, Index: index}
 	a.Describe(j, queued.EffectivePriority)
 	return a
 }
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -24,10 +24,10 @@
 	now := time.Now()
 	running := s.runningTasksLocked()
 	changed := map[string]job.Progress{}
-	if now.Sub(s.progressReported) >= allProgressEvery {
-		s.progressReported = now
+	if now.Sub(s.allProgressAt) >= allProgressEvery {
+		s.allProgressAt = now
 	}
-	all := now.Sub(s.progressReported) < progressRepeatFor
+	all := now.Sub(s.allProgressAt) < progressRepeatFor
 	for id, queued := range s.jobs {
 		p := job.Progress{Done: queued.Done.Count, Running: running[id]}
 		if p != queued.ReportedProgress {
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -25,7 +25,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	defer s.recheckEpoch()
-	s.building = false
+	s.rebuilding = false
 	if err != nil {
 		s.log.Info("rebuilding the scheduler failed, trying again", "err", err)
 		return
@@ -36,7 +36,7 @@
 	s.disownLocked(&epoch) // what came meanwhile by the old epoch
 	s.takeEpochLocked(epoch, condition)
 	s.restoreLocked(records, gained, adopt)
-	s.adopted, s.loaded = epoch.Token, true
+	s.adoptedToken, s.loaded = epoch.Token, true
 	s.takeDoneBucketsLocked(records.Done)
 	for _, queued := range s.jobs {
 		s.finishLocked(queued)
@@ -59,7 +59,7 @@
 func (s *Scheduler) restoreLocked(records recovery.Records, gained []*job.Record, adopt []string) {
 	first := !s.loaded
 	if first {
-		s.begun = s.epoch.condition.Version
+		s.startVersion = s.epoch.condition.Version
 	}
 	now := time.Now()
 	isGained := s.addGainedJobsLocked(gained, records.Done)
@@ -251,7 +251,7 @@
 // adoptMachineLocked takes a machine with what the records say may be on it.
 // buckets hold those: the first is its own from now on.
 func (s *Scheduler) adoptMachineLocked(fm *fleet.Machine, buckets []*checkpoint.Bucket, outcomes map[string]job.Outcome, now time.Time) {
-	answered := s.answeredEarly[fm.Name]
+	answered := s.answeredUnadopted[fm.Name]
 	m := s.addMachineLocked(fm, now)
 	m.LastReply = answered
 	s.checkpoints.AdoptMachine(&m.record, buckets)
--- a/internal/scheduler/returns.go
+++ b/internal/scheduler/returns.go
@@ -53,7 +53,7 @@
 func (s *Scheduler) selectReturnsLocked(machines []*machine, reason autoscale.ReturnReason, now time.Time) []string {
 	var names []string
 	for _, m := range machines {
-		if m.returning || now.Before(m.returnAgain) || len(names) == wire.MaxReturn {
+		if m.returning || now.Before(m.returnNotBefore) || len(names) == wire.MaxReturn {
 			continue
 		}
 		names = append(names, m.Name)
@@ -100,7 +100,7 @@
 func (s *Scheduler) abortReturnLocked(names []string) {
 	for _, name := range names {
 		if m := s.machines[name]; m != nil {
-			m.returning, m.returnAgain = false, time.Now().Add(returnAgainAfter)
+			m.returning, m.returnNotBefore = false, time.Now().Add(returnAgainAfter)
 		}
 	}
 }
@@ -109,7 +109,7 @@
 // record of tasks and whose owners are no members any more. Those with records
 // are adopted first.
 func (s *Scheduler) abandonedReturnsLocked() []string {
-	if !s.leadsLocked() || s.adopted != s.opts.Authority.Token() || !s.permitted() {
+	if !s.leadsLocked() || s.adoptedToken != s.opts.Authority.Token() || !s.permitted() {
 		return nil
 	}
 	var names []string
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -119,20 +119,20 @@
 // machine is a machine that the scheduler owns, with its decisions about it.
 type machine struct {
 	detector.Worker
-	record       checkpoint.Machine // what is recorded of it
-	sending      bool               // a direct command is under way
-	sendAgain    bool
-	returning    bool
-	returnIntent bool      // an owner before has recorded that it is to be returned
-	quarantined  bool      // fails what it starts: no new placements
-	returnAgain  time.Time // not before then, since the last try was refused
-	failedJobs   map[string]bool
-	idleSince    time.Time
-	cooling      time.Time        // no placements before then
-	packing      *packing.Machine // what is known of its room
-
-	base  uint64 // heartbeats under older tokens do not settle its record
-	fence uint64 // nobody else answers its worker once epochs before this are fenced; 0: nobody does
+	record          checkpoint.Machine // what is recorded of it
+	commandPending  bool               // a direct command is under way
+	commandAgain    bool
+	returning       bool
+	returnIntent    bool      // an owner before has recorded that it is to be returned
+	quarantined     bool      // fails what it starts: no new placements
+	returnNotBefore time.Time // not before then, since the last try was refused
+	failedJobs      map[string]bool
+	idleSince       time.Time
+	placeNotBefore  time.Time        // no placements before then
+	packing         *packing.Machine // what is known of its room
+
+	syncToken  uint64 // heartbeats under older tokens do not settle its record
+	fenceToken uint64 // nobody else answers its worker once epochs before this are fenced; 0: nobody does
 }
 
 // Scheduler schedules one controller's part of the cluster: its jobs, its
@@ -153,16 +153,16 @@
 	mu                sync.Mutex
 	epoch             epochState
 	loaded            bool
-	adopted           uint64 // under this epoch, machines without an owner have been taken
-	building          bool
-	begun             uint64                // version of the epoch when the scheduler began
-	answeredEarly     map[string]time.Time  // heartbeats answered before the records were read
+	adoptedToken      uint64 // under this epoch, machines without an owner have been taken
+	rebuilding        bool
+	startVersion      uint64                // version of the epoch when the scheduler began
+	answeredUnadopted map[string]time.Time  // heartbeats answered before the records were read
 	unknownTasksSince map[string]time.Time  // since when machines have had tasks of unknown jobs
 	jobs              map[string]*queue.Job // the scheduler's own
 	hostedJobs        map[string]*queue.Job // jobs of other controllers that have, or want, tasks here
 	remoteAttempts    *remote.Attempts      // tasks of own jobs that may be on others' machines
 	placeThrottle     remote.Throttle
-	denied            remote.DeniedAttempts // hosted here never more
+	deniedAttempts    remote.DeniedAttempts // hosted here never more
 	machines          map[string]*machine
 	valueLimit        *checkpoint.ValueLimit
 	checkpoints       *checkpoint.Writer  // records what may be on the machines
@@ -173,20 +173,20 @@
 	packer            *packing.Packer
 	victims           victimSummary
 	fetchDeferred     bool // a job of the turn that is being served leaves room to others
-	numbers           fleet.AttemptNumbers
+	attemptNumbers    fleet.AttemptNumbers
 	inventory         *autoscale.Inventory
 	planner           *autoscale.Planner // shares types and inventory
-	serial            uint64             // numbers what must never be named alike under one token
-	raising           bool
-	raised            time.Time
-	resolving         map[string]bool // jobs being looked up
+	lastSerial        uint64             // numbers what must never be named alike under one token
+	raisingToken      bool
+	raiseAttemptedAt  time.Time
+	resolvingJobs     map[string]bool // jobs being looked up
 	idleReserve       int             // how many machines may stay idle
-	ledSince          time.Time       // when this controller last began to lead
-	resigned          time.Time
-	rebalanced        time.Time // when idle machines were last rebalanced
+	leaderSince       time.Time       // when this controller last began to lead
+	resignedAt        time.Time
+	rebalancedAt      time.Time // when idle machines were last rebalanced
 	shedAt            time.Time // when some were last given away for want of processor time
-	overloaded        time.Time // when this controller was last short of processor time
-	progressReported  time.Time // when the progress of all jobs was last reported
+	overloadedAt      time.Time // when this controller was last short of processor time
+	allProgressAt     time.Time // when the progress of all jobs was last reported
 	passes            passTimes // since the load was last logged
 	upkeep            upkeep
 
@@ -199,9 +199,9 @@
 	s := &Scheduler{
 		opts: opts, log: opts.Log,
 		types: map[string]*wire.MachineType{}, teams: queue.NewTeams(opts.Settings.Teams),
-		wake:          make(chan struct{}, 1),
-		answeredEarly: map[string]time.Time{}, unknownTasksSince: map[string]time.Time{}, jobs: map[string]*queue.Job{}, machines: map[string]*machine{},
-		inventory: autoscale.NewInventory(), resolving: map[string]bool{},
+		wake:              make(chan struct{}, 1),
+		answeredUnadopted: map[string]time.Time{}, unknownTasksSince: map[string]time.Time{}, jobs: map[string]*queue.Job{}, machines: map[string]*machine{},
+		inventory: autoscale.NewInventory(), resolvingJobs: map[string]bool{},
 		hostedJobs: map[string]*queue.Job{}, remoteAttempts: remote.NewAttempts(),
 	}
 	s.valueLimit = checkpoint.NewValueLimit(opts.Settings, opts.Log)
@@ -243,11 +243,11 @@
 	m := &machine{Worker: detector.NewWorker(fm, now), record: checkpoint.Machine{Machine: fm}, failedJobs: map[string]bool{}, idleSince: now}
 	m.packing = packing.NewMachine(fm, func(now time.Time) bool { return s.acceptsLocked(m, now) })
 	m.Type = s.types[m.TypeName]
-	m.base, m.fence = s.epoch.Token, s.epoch.Token
+	m.syncToken, m.fenceToken = s.epoch.Token, s.epoch.Token
 	m.returnIntent = s.opts.Actions.HasReturnIntent(m.Name)
 	s.machines[m.Name] = m
 	s.inventory.Joined(m.Name)
-	delete(s.answeredEarly, m.Name)
+	delete(s.answeredUnadopted, m.Name)
 	return m
 }
 
@@ -343,8 +343,8 @@
 // each heartbeat would take more than this controller's part of a processor.
 const passEvery = 10 * time.Millisecond
 
-// Changed tells the scheduler that the epoch or a machine's owner has changed.
-func (s *Scheduler) Changed() { s.recheckEpoch() }
+// EpochChanged tells the scheduler that the epoch or a machine's owner has changed.
+func (s *Scheduler) EpochChanged() { s.recheckEpoch() }
 
 // recheckEpoch has the next pass look at who owns what.
 func (s *Scheduler) recheckEpoch() {
--- a/internal/scheduler/serve.go
+++ b/internal/scheduler/serve.go
@@ -22,7 +22,7 @@
 	// Hosted jobs take their turn: what they want is kept free until their owner
 	// asks again.
 	for _, hosted := range s.hostedJobs {
-		if hosted.OwnerUnplaced > 0 && now.Sub(hosted.OwnerAskedAt) < packing.ReservationTimeout {
+		if hosted.OwnerUnplaced > 0 && now.Sub(hosted.OwnerRequestedAt) < packing.ReservationTimeout {
 			waiting = append(waiting, hosted)
 		}
 	}
--- a/internal/scheduler/settle.go
+++ b/internal/scheduler/settle.go
@@ -41,7 +41,7 @@
 		s.followHostLocked(a)
 		if a.Host != s.opts.Node {
 			requests.Add(a, a.Handled || s.jobs[a.Job] == nil)
-		} else if s.loaded && s.adopted == s.epoch.Token {
+		} else if s.loaded && s.adoptedToken == s.epoch.Token {
 			// Its machine was taken over here, without it.
 			s.forgetRemoteLocked(a)
 		}
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -51,7 +51,7 @@
 type summary struct {
 	machines, idle int
 	cpus, freeCPUs float64
-	cut            bool
+	partitioned    bool
 	overloaded     bool
 	wants          []*peerpb.Want
 }
@@ -63,7 +63,7 @@
 func (s *Scheduler) summarizeLocked(now time.Time) {
 	idle, total, free := s.statusLocked(now)
 	s.summary.Store(&summary{machines: len(s.machines), idle: idle, cpus: total.CPUs, freeCPUs: free.CPUs,
-		cut: s.detector.Partitioned(), overloaded: s.overloadedLocked(now), wants: s.wantsLocked(now)})
+		partitioned: s.detector.Partitioned(), overloaded: s.overloadedLocked(now), wants: s.wantsLocked(now)})
 }
 
 // Status fills in what the peers are told of the scheduler, as last summarized. It
@@ -75,6 +75,6 @@
 		return
 	}
 	status.Machines, status.Idle = uint32(sum.machines), uint32(sum.idle)
-	status.Cpus, status.FreeCpus, status.Cut = sum.cpus, sum.freeCPUs, sum.cut
+	status.Cpus, status.FreeCpus, status.Cut = sum.cpus, sum.freeCPUs, sum.partitioned
 	status.Overloaded, status.Wants = sum.overloaded, sum.wants
 }
