--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -181,3 +181,20 @@
 		s.log.Info("machine set aside: jobs fail on it that do not fail elsewhere", "machine", m.Name)
 	}
 }
+
+// numbersLeftLocked makes sure that there are numbers for attempts under the
+// token, and returns false while there are not.
+func (s *Scheduler) numbersLeftLocked(now time.Time) bool {
+	left := s.attemptNumbers.Left(s.epoch.Token)
+	if left < fleet.FewAttemptNumbers {
+		s.raiseLocked(now)
+	}
+	return left >= fleet.MinAttemptNumbers
+}
+
+func (s *Scheduler) newAttempt(queued *queue.Job, index int) *fleet.Attempt {
+	j := &queued.Record.Job
+	a := &fleet.Attempt{Key: fleet.Key{Task: wire.TaskID(j.ID, index), Attempt: s.attemptNumbers.Next(s.epoch.Token)}, Job: j.ID, Index: index}
+	a.Describe(j, queued.EffectivePriority)
+	return a
+}
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"heronwick/internal/cluster"
-	"heronwick/internal/fleet"
 	"heronwick/internal/job"
 	"heronwick/internal/state"
 	"heronwick/wire"
@@ -176,46 +175,21 @@
 // currentLocked tells whether the epoch that the scheduler goes by is current.
 func (s *Scheduler) currentLocked() bool { return s.fenceLocked().Current() }
 
-// dropStaleHostedLocked removes hosted attempts that were not recorded under the
-// shard assignment in which their owner asked: it finds that they are not here.
-func (s *Scheduler) dropStaleHostedLocked(m *machine) {
-	for _, a := range m.Attempts.All() {
-		if a.Hosted && !a.Durable && a.Epoch < s.epoch.assignedToken {
-			m.Attempts.Delete(a.Key)
-		}
-	}
-	s.closeIfEmptyLocked(m)
-}
+// raiseEvery is how often the fencing token may be raised.
+const raiseEvery = 2 * time.Second
 
-// isReleasedLocked tells whether a machine was surely given back to the cloud, by
-// this scheduler or by another.
-func (s *Scheduler) isReleasedLocked(name string) bool {
-	if s.inventory.IsReleased(name) {
-		return true
+// raiseLocked raises the fencing token, now and then.
+func (s *Scheduler) raiseLocked(now time.Time) {
+	if s.raisingToken || now.Sub(s.raiseAttemptedAt) <= raiseEvery {
+		return
 	}
-	o, _ := s.opts.Authority.OwnerOf(name)
-	return o.Released()
-}
-
-// joinLocked decides about a worker whose machine this scheduler does not have:
-// one just handed over to it, or one that nobody owns. adopting tells that its machine
-// is this scheduler's and will be taken once the records are read.
-func (s *Scheduler) joinLocked(heartbeat *wire.Heartbeat, now time.Time) (m *machine, adopting bool) {
-	name := heartbeat.Machine
-	if s.isReleasedLocked(name) {
-		return nil, false // sent before its machine was returned
-	}
-	node, owned := s.opts.Authority.HeartbeatTarget(name)
-	if node != s.opts.Node || s.transfers.Moving(name) {
-		return nil, false
-	}
-	_, named := s.opts.Authority.OwnerOf(name)
-	if owned || named || !s.opts.Authority.Fresh() || !s.loaded || s.adoptedToken != s.opts.Authority.Token() {
-		// Handed over a moment ago, or perhaps one with tasks whose owner has gone.
-		s.recheckEpoch()
-		return nil, true
-	}
-	// A machine that the records do not name never had anything placed on it.
-	s.log.Info("machine joins", "machine", name, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot, "incarnation", heartbeat.Incarnation)
-	return s.addMachineLocked(fleet.NewMachine(name), now), false
+	s.raisingToken, s.raiseAttemptedAt = true, now
+	s.goDo(func(ctx context.Context) {
+		if err := s.opts.Authority.AdvanceEpoch(ctx); err != nil {
+			s.log.Info("raising the token failed", "err", err)
+		}
+		s.mu.Lock()
+		s.raisingToken = false
+		s.mu.Unlock()
+	})
 }
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -55,6 +55,29 @@
 	return reply
 }
 
+// joinLocked decides about a worker whose machine this scheduler does not have:
+// one just handed over to it, or one that nobody owns. adopting tells that its machine
+// is this scheduler's and will be taken once the records are read.
+func (s *Scheduler) joinLocked(heartbeat *wire.Heartbeat, now time.Time) (m *machine, adopting bool) {
+	name := heartbeat.Machine
+	if s.isReleasedLocked(name) {
+		return nil, false // sent before its machine was returned
+	}
+	node, owned := s.opts.Authority.HeartbeatTarget(name)
+	if node != s.opts.Node || s.transfers.Moving(name) {
+		return nil, false
+	}
+	_, named := s.opts.Authority.OwnerOf(name)
+	if owned || named || !s.opts.Authority.Fresh() || !s.loaded || s.adoptedToken != s.opts.Authority.Token() {
+		// Handed over a moment ago, or perhaps one with tasks whose owner has gone.
+		s.recheckEpoch()
+		return nil, true
+	}
+	// A machine that the records do not name never had anything placed on it.
+	s.log.Info("machine joins", "machine", name, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot, "incarnation", heartbeat.Incarnation)
+	return s.addMachineLocked(fleet.NewMachine(name), now), false
+}
+
 // unknownTasksGrace is how long a worker is answered though it has tasks of jobs of
 // which nothing is known.
 func (s *Scheduler) unknownTasksGrace() time.Duration { return s.opts.Settings.LeaseFor / 4 }
@@ -162,17 +185,3 @@
 	}
 	s.closeIfEmptyLocked(m)
 }
-
-// closeIfEmptyLocked takes a machine whose last task has ended off the list.
-func (s *Scheduler) closeIfEmptyLocked(m *machine) {
-	if m.ActiveCount() > 0 {
-		if !s.packer.Open.Has(m.packing) {
-			s.packer.Open.Append(m.packing)
-		}
-		return
-	}
-	if s.packer.Open.Has(m.packing) {
-		s.packer.Open.Close(m.packing)
-		m.idleSince = time.Now()
-	}
-}
--- a/internal/scheduler/hosting.go
+++ b/internal/scheduler/hosting.go
@@ -259,3 +259,14 @@
 	return &peerpb.Hosted{Attempt: at, Known: true, Zone: found.machine.Zone,
 		State: string(found.attempt.State), Why: string(found.attempt.Why)}
 }
+
+// dropStaleHostedLocked removes hosted attempts that were not recorded under the
+// shard assignment in which their owner asked: it finds that they are not here.
+func (s *Scheduler) dropStaleHostedLocked(m *machine) {
+	for _, a := range m.Attempts.All() {
+		if a.Hosted && !a.Durable && a.Epoch < s.epoch.assignedToken {
+			m.Attempts.Delete(a.Key)
+		}
+	}
+	s.closeIfEmptyLocked(m)
+}
--- /dev/null
+++ b/internal/scheduler/loop.go
@@ -0,0 +1,116 @@
+package scheduler
+
+import (
+	"context"
+	"time"
+
+	"heronwick/internal/wait"
+)
+
+// passEvery is how long a pass waits after the one before, or twice as long as
+// that took. What comes meanwhile is served together: under load a pass for
+// each heartbeat would take more than this controller's part of a processor.
+const passEvery = 10 * time.Millisecond
+
+// tickEvery is how often the scheduler looks after what nobody tells it of.
+const tickEvery = 200 * time.Millisecond
+
+// logLoadEvery is how often the scheduler logs how full it is.
+const logLoadEvery = 10 * time.Second
+
+// loop schedules whenever something has changed, and looks after the machines
+// at regular times.
+func (s *Scheduler) loop(ctx context.Context) error {
+	tick := time.NewTicker(tickEvery)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-s.wake:
+		case now := <-tick.C:
+			s.tick(now)
+		}
+		took := s.schedule()
+		if !wait.Sleep(ctx, max(passEvery, 2*took)) {
+			return nil
+		}
+	}
+}
+
+// upkeep is when the rarer parts of a tick were last done. Only the loop uses it.
+type upkeep struct {
+	logged, tidied, summarized, closed time.Time
+}
+
+// tick looks after machines, records and what others are told.
+func (s *Scheduler) tick(now time.Time) {
+	s.epochChecked.Store(false) // in case that a change went unnoticed
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.rebalanceIdleLocked(now)
+	s.shedIdleMachinesLocked(now)
+	s.watchMachinesLocked(now)
+	if now.Sub(s.upkeep.summarized) >= summarizeEvery {
+		s.upkeep.summarized = now
+		s.summarizeLocked(now)
+	}
+	s.flushLocked(now)
+	s.announceReleasesLocked()
+	if now.Sub(s.upkeep.closed) > closeReturnsEvery {
+		s.upkeep.closed = now
+		s.closeReturnsLocked()
+	}
+	if now.Sub(s.upkeep.tidied) > tidyEvery {
+		s.upkeep.tidied = now
+		s.tidyLocked(now)
+	}
+	if now.Sub(s.upkeep.logged) > logLoadEvery {
+		s.upkeep.logged = now
+		s.logLoadLocked(now)
+	}
+}
+
+// schedule places what waits, and returns how long that took.
+func (s *Scheduler) schedule() (took time.Duration) {
+	began := time.Now()
+	s.mu.Lock()
+	locked := time.Now()
+	if !s.epochChecked.Swap(true) {
+		s.followEpochLocked()
+	}
+	s.scheduleLocked(time.Now())
+	s.commitLocked()
+	s.placeRemotelyLocked(time.Now())
+	s.detector.NoteDelay(max(locked.Sub(began), time.Since(locked)), time.Now())
+	s.mu.Unlock()
+	took = time.Since(began)
+	s.passes.add(took)
+	return took
+}
+
+// passTimes sums how long passes took. Only the loop uses it.
+type passTimes struct {
+	count          int
+	total, longest time.Duration
+}
+
+func (p *passTimes) add(took time.Duration) {
+	p.count, p.total, p.longest = p.count+1, p.total+took, max(p.longest, took)
+}
+
+// EpochChanged tells the scheduler that the epoch or a machine's owner has changed.
+func (s *Scheduler) EpochChanged() { s.recheckEpoch() }
+
+// recheckEpoch has the next pass look at who owns what.
+func (s *Scheduler) recheckEpoch() {
+	s.epochChecked.Store(false)
+	s.poke()
+}
+
+func (s *Scheduler) poke() {
+	select {
+	case s.wake <- struct{}{}:
+	default:
+	}
+}
--- /dev/null
+++ b/internal/scheduler/machine.go
@@ -0,0 +1,112 @@
+package scheduler
+
+import (
+	"time"
+
+	"heronwick/internal/checkpoint"
+	"heronwick/internal/detector"
+	"heronwick/internal/fleet"
+	"heronwick/internal/packing"
+)
+
+// machine is a machine that the scheduler owns, with its decisions about it.
+type machine struct {
+	detector.Worker
+	record          checkpoint.Machine // what is recorded of it
+	commandPending  bool               // a direct command is under way
+	commandAgain    bool
+	returning       bool
+	returnIntent    bool      // an owner before has recorded that it is to be returned
+	quarantined     bool      // fails what it starts: no new placements
+	returnNotBefore time.Time // not before then, since the last try was refused
+	failedJobs      map[string]bool
+	idleSince       time.Time
+	placeNotBefore  time.Time        // no placements before then
+	packing         *packing.Machine // what is known of its room
+
+	syncToken  uint64 // heartbeats under older tokens do not settle its record
+	fenceToken uint64 // nobody else answers its worker once epochs before this are fenced; 0: nobody does
+}
+
+func (s *Scheduler) addMachineLocked(fm *fleet.Machine, now time.Time) *machine {
+	m := &machine{Worker: detector.NewWorker(fm, now), record: checkpoint.Machine{Machine: fm}, failedJobs: map[string]bool{}, idleSince: now}
+	m.packing = packing.NewMachine(fm, func(now time.Time) bool { return s.acceptsLocked(m, now) })
+	m.Type = s.types[m.TypeName]
+	m.syncToken, m.fenceToken = s.epoch.Token, s.epoch.Token
+	m.returnIntent = s.opts.Actions.HasReturnIntent(m.Name)
+	s.machines[m.Name] = m
+	s.inventory.Joined(m.Name)
+	delete(s.answeredUnadopted, m.Name)
+	return m
+}
+
+// synced tells whether the worker's heartbeat under its owner's token has come:
+// then the machine's record is settled.
+func (s *Scheduler) synced(m *machine) bool { return m.HeartbeatSeen && m.FencingToken >= m.syncToken }
+
+// acceptsLocked tells whether new tasks may go to the machine, if there is room.
+func (s *Scheduler) acceptsLocked(m *machine, now time.Time) bool {
+	return s.synced(m) && m.Type != nil && !m.returning && !m.returnIntent && !m.quarantined && m.Responsive() &&
+		m.Notice.IsZero() && !now.Before(m.placeNotBefore) && now.Sub(m.LastHeartbeat) < s.detector.SuspectAfter() && !s.detector.HeartbeatsMissing(&m.Worker, now)
+}
+
+// usableLocked tells whether new tasks may go to the machine at all.
+func (s *Scheduler) usableLocked(m *machine, now time.Time) bool {
+	if !s.acceptsLocked(m, now) {
+		return false
+	}
+	_, sized := m.Room()
+	return sized
+}
+
+// closeIfEmptyLocked takes a machine whose last task has ended off the list.
+func (s *Scheduler) closeIfEmptyLocked(m *machine) {
+	if m.ActiveCount() > 0 {
+		if !s.packer.Open.Has(m.packing) {
+			s.packer.Open.Append(m.packing)
+		}
+		return
+	}
+	if s.packer.Open.Has(m.packing) {
+		s.packer.Open.Close(m.packing)
+		m.idleSince = time.Now()
+	}
+}
+
+// isReleasedLocked tells whether a machine was surely given back to the cloud, by
+// this scheduler or by another.
+func (s *Scheduler) isReleasedLocked(name string) bool {
+	if s.inventory.IsReleased(name) {
+		return true
+	}
+	o, _ := s.opts.Authority.OwnerOf(name)
+	return o.Released()
+}
+
+// drainLocked empties a machine that the cloud will take away, or whose lease
+// will expire: replicas move at once, and what can save is stopped in time. The
+// rest runs on: it may finish before, and stopping it would lose it anyway.
+func (s *Scheduler) drainLocked(m *machine) {
+	for _, a := range m.Attempts.All() {
+		if a.Stop || a.Exited() || !a.Sized {
+			continue
+		}
+		if a.Service || a.GraceS > 0 || a.Running.IsZero() {
+			s.log.Info("draining", "task", a.Task, "machine", m.Name)
+			a.Stop = true
+			s.sendLocked(m)
+		}
+	}
+}
+
+// removeReleasedLocked removes a machine that was released to the cloud.
+func (s *Scheduler) removeReleasedLocked(m *machine) {
+	s.handleLocked(m, m.MarkReleased())
+	s.packer.Open.Close(m.packing)
+	s.checkpoints.Leave(&m.record)
+	delete(s.machines, m.Name)
+	if _, named := s.opts.Authority.OwnerOf(m.Name); named {
+		// Whoever takes over what is ours must not take it for a machine.
+		s.transfers.Release(m.Name)
+	}
+}
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/machinewatch.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"context"
 	"iter"
 	"time"
 
@@ -13,8 +12,6 @@
 	// resignAfter is how long after an election workers still come to controllers that
 	// do not lead, also those that the leader reaches.
 	resignAfter = 10 * time.Second
-	// raiseEvery is how often the fencing token may be raised.
-	raiseEvery = 2 * time.Second
 	// leftoversAfter and leftoversIdleAfter are how long after the token last rose, and
 	// after a machine became idle, exited attempts on it may ask for a higher token.
 	leftoversAfter     = 20 * time.Second
@@ -149,19 +146,3 @@
 	return m.ActiveCount() == 0 && m.Attempts.Len() > 0 &&
 		now.Sub(s.epoch.raisedAt) > leftoversAfter && now.Sub(m.idleSince) > leftoversIdleAfter
 }
-
-// raiseLocked raises the fencing token, now and then.
-func (s *Scheduler) raiseLocked(now time.Time) {
-	if s.raisingToken || now.Sub(s.raiseAttemptedAt) <= raiseEvery {
-		return
-	}
-	s.raisingToken, s.raiseAttemptedAt = true, now
-	s.goDo(func(ctx context.Context) {
-		if err := s.opts.Authority.AdvanceEpoch(ctx); err != nil {
-			s.log.Info("raising the token failed", "err", err)
-		}
-		s.mu.Lock()
-		s.raisingToken = false
-		s.mu.Unlock()
-	})
-}
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"slices"
 	"time"
 
 	"heronwick/internal/fleet"
@@ -9,67 +8,6 @@
 	"heronwick/wire"
 )
 
-// gangBooking is a task of a gang that is booked on a machine until all are.
-type gangBooking struct {
-	machine  *machine
-	attempt  *fleet.Attempt
-	wasDirty bool // whether the machine's record was to be written anyway
-}
-
-// placeGangLocked places all tasks of a gang in one walk, opening machines as
-// needed, or none: then its bookings are freed. While some tasks of an earlier
-// try may still run, the others wait: without peers they end by themselves.
-func (s *Scheduler) placeGangLocked(queued *queue.Job, now time.Time) {
-	if queued.LiveTasks() > 0 || !s.teams.WithinLimit(queued, queued.Pending()) {
-		return
-	}
-	var booked []gangBooking
-	for {
-		index, ok := queued.NextTask()
-		if !ok {
-			queued.UnplacedSince = time.Time{}
-			return
-		}
-		m, _ := s.findWithImageLocked(queued, now, false)
-		if m == nil {
-			m = s.findAnyLocked(queued, now)
-		}
-		if m == nil {
-			break
-		}
-		queued.Dequeue()
-		wasDirty := m.record.Dirty
-		a := s.placeLocked(queued, index, m, now)
-		if len(booked) > 0 {
-			// Peers find each other by the number of their attempt.
-			m.Attempts.Delete(a.Key)
-			a.Attempt = booked[0].attempt.Attempt
-			m.Attempts.Put(a)
-		}
-		booked = append(booked, gangBooking{m, a, wasDirty})
-	}
-	s.freeBookingsLocked(booked)
-	if queued.UnplacedSince.IsZero() {
-		queued.UnplacedSince = now
-	}
-}
-
-// freeBookingsLocked takes back the bookings of a gang that found no room as a
-// whole, without waking the scheduler or writing records: that would set off
-// the next try at once, for as long as the gang waits.
-func (s *Scheduler) freeBookingsLocked(booked []gangBooking) {
-	if len(booked) > 0 { // there is more room again
-		s.packer.RoomFreed()
-	}
-	for _, b := range slices.Backward(booked) {
-		b.machine.Attempts.Delete(b.attempt.Key)
-		b.machine.packing.RoomChanged()
-		b.machine.record.Dirty = b.wasDirty
-		s.releaseAttemptLocked(b.attempt)
-		s.closeIfEmptyLocked(b.machine)
-	}
-}
-
 // placeJobLocked places a job's tasks as far as there is room. With withImage, they
 // go where the job's image is, and elsewhere only once the job has passed up
 // enough.
@@ -151,21 +89,6 @@
 	return now.Sub(queued.ImageWaitSince) < imageWaitTimeout
 }
 
-// acceptsLocked tells whether new tasks may go to the machine, if there is room.
-func (s *Scheduler) acceptsLocked(m *machine, now time.Time) bool {
-	return s.synced(m) && m.Type != nil && !m.returning && !m.returnIntent && !m.quarantined && m.Responsive() &&
-		m.Notice.IsZero() && !now.Before(m.placeNotBefore) && now.Sub(m.LastHeartbeat) < s.detector.SuspectAfter() && !s.detector.HeartbeatsMissing(&m.Worker, now)
-}
-
-// usableLocked tells whether new tasks may go to the machine at all.
-func (s *Scheduler) usableLocked(m *machine, now time.Time) bool {
-	if !s.acceptsLocked(m, now) {
-		return false
-	}
-	_, sized := m.Room()
-	return sized
-}
-
 // placeLocked books a task on a machine. The attempt's number rises with each
 // placement, across controllers and restarts, since tokens do.
 func (s *Scheduler) placeLocked(queued *queue.Job, index int, m *machine, now time.Time) *fleet.Attempt {
@@ -177,20 +100,3 @@
 	s.log.Debug("placed", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "image_held", m.HasImage(a.Image))
 	return a
 }
-
-// numbersLeftLocked makes sure that there are numbers for attempts under the
-// token, and returns false while there are not.
-func (s *Scheduler) numbersLeftLocked(now time.Time) bool {
-	left := s.attemptNumbers.Left(s.epoch.Token)
-	if left < fleet.FewAttemptNumbers {
-		s.raiseLocked(now)
-	}
-	return left >= fleet.MinAttemptNumbers
-}
-
-func (s *Scheduler) newAttempt(queued *queue.Job, index int) *fleet.Attempt {
-	j := &queued.Record.Job
-	a := &fleet.Attempt{Key: fleet.Key{Task: wire.TaskID(j.ID, index), Attempt: s.attemptNumbers.Next(s.epoch.Token)}, Job: j.ID, Index: index}
-	a.Describe(j, queued.EffectivePriority)
-	return a
-}
--- /dev/null
+++ b/internal/scheduler/rebalancing.go
@@ -0,0 +1,93 @@
+package scheduler
+
+import (
+	"time"
+
+	"heronwick/wire"
+)
+
+const (
+	// rebalanceEvery is how often idle machines are rebalanced among the controllers.
+	rebalanceEvery = 30 * time.Second
+	// unknownTasksMemory is how long a machine with tasks of unknown jobs is
+	// remembered: it is gone, or it would have been decided.
+	unknownTasksMemory = 10 * time.Minute
+	// keepIdlePart is for how many machines in use one idle machine stays at hand.
+	keepIdlePart = 4
+)
+
+// rebalanceIdleLocked hands idle machines that are more than a controller
+// needs at hand over to the leader, and lets the leader hand them over to
+// controllers without one. A controller that starves gets them at once, see
+// Place.
+func (s *Scheduler) rebalanceIdleLocked(now time.Time) {
+	if !s.loaded || !s.permitted() || now.Sub(s.rebalancedAt) < rebalanceEvery {
+		return
+	}
+	s.rebalancedAt = now
+	s.forgetOldMachinesLocked(now)
+	if s.gathersForGangLocked() {
+		return
+	}
+	idle := s.handoverCandidatesLocked(now)
+	if len(idle) <= 1 {
+		return
+	}
+	// What a controller has in use tells what it will need.
+	keep := max(1, (len(s.machines)-len(idle))/keepIdlePart)
+	switch {
+	case len(idle) <= keep:
+	case s.epoch.Leader == s.opts.Node:
+		s.spreadIdleLocked(idle, keep)
+	case !s.opts.Authority.PeerLoads()[s.epoch.Leader].Overloaded:
+		s.handOverLocked(idle[keep:], s.epoch.Leader)
+	}
+}
+
+// forgetOldMachinesLocked forgets machines that have been gone for long.
+func (s *Scheduler) forgetOldMachinesLocked(now time.Time) {
+	s.inventory.ForgetReleased(now)
+	for name, at := range s.unknownTasksSince {
+		if now.Sub(at) > unknownTasksMemory {
+			delete(s.unknownTasksSince, name)
+		}
+	}
+}
+
+// gathersForGangLocked tells whether a gang of this scheduler waits for machines.
+func (s *Scheduler) gathersForGangLocked() bool {
+	for _, queued := range s.jobs {
+		if queued.Record.Job.Kind == wire.KindGang && !queued.UnplacedSince.IsZero() {
+			return true
+		}
+	}
+	return false
+}
+
+// spreadIdleLocked hands over idle machines, but for those to keep, in equal
+// parts to the controllers that have jobs and no idle machine; one part stays.
+func (s *Scheduler) spreadIdleLocked(idle []*machine, keep int) {
+	var starving []string
+	for node := range s.epoch.Members {
+		if node != s.opts.Node && s.opts.Authority.IdleMachines(node) == 0 && s.hasJobs(node) {
+			starving = append(starving, node)
+		}
+	}
+	each := (len(idle) - keep) / (len(starving) + 1)
+	if each == 0 {
+		return
+	}
+	for i, node := range starving {
+		s.handOverLocked(idle[i*each:(i+1)*each], node)
+	}
+}
+
+// hasJobs tells whether the member has jobs to place.
+func (s *Scheduler) hasJobs(node string) bool {
+	for _, r := range s.opts.Jobs.AllActive() {
+		if s.epoch.OwnerOf(r.Job.Team, r.Job.ID) == node {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/scheduler/renting.go
@@ -0,0 +1,149 @@
+package scheduler
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"time"
+
+	"heronwick/internal/autoscale"
+	"heronwick/internal/cluster/peerpb"
+	"heronwick/internal/placement"
+	"heronwick/internal/queue"
+	"heronwick/internal/state"
+	"heronwick/wire"
+)
+
+// maxWants bounds the jobs of which a scheduler tells that they find no room.
+const maxWants = 500
+
+// wantsLocked tells the peers what finds no room here: one controller rents,
+// and must know of all that waits, not only of what it is just asked to place.
+func (s *Scheduler) wantsLocked(now time.Time) []*peerpb.Want {
+	var wants []*peerpb.Want
+	for id, queued := range s.jobs {
+		if n := queued.RentalDemand(now); n > 0 && len(wants) < maxWants {
+			wants = append(wants, &peerpb.Want{Job: id, Tasks: uint32(n)})
+		}
+	}
+	return wants
+}
+
+// unmetDemand is what a job, of any scheduler, finds no room for.
+type unmetDemand struct {
+	job   *queue.Job
+	tasks int
+}
+
+// unmetDemandLocked gathers what finds no room in any scheduler, in the order
+// in which it is rented for.
+func (s *Scheduler) unmetDemandLocked(now time.Time) []unmetDemand {
+	var all []unmetDemand
+	for _, queued := range s.jobs {
+		if n := queued.RentalDemand(now); n > 0 {
+			all = append(all, unmetDemand{queued, n})
+		}
+	}
+	for _, w := range s.opts.Authority.UnplacedWants() {
+		queued := s.hostedJobs[w.Job]
+		if queued == nil {
+			r := s.opts.Jobs.Active(w.Job)
+			if r == nil {
+				continue
+			}
+			queued = s.newJob(r)
+		}
+		all = append(all, unmetDemand{queued, int(w.Tasks)})
+	}
+	slices.SortFunc(all, func(a, b unmetDemand) int {
+		return cmp.Or(cmp.Compare(a.job.EffectivePriority, b.job.EffectivePriority), a.job.EligibleAt.Compare(b.job.EligibleAt))
+	})
+	return all
+}
+
+// rentRequestsLocked returns what is to be rented now, and how many idle
+// machines are kept in reserve from now on.
+func (s *Scheduler) rentRequestsLocked(now time.Time) []wire.RentRequest {
+	if !s.loaded || !s.permitted() {
+		return nil
+	}
+	fleet := s.fleetInUseLocked(now)
+	s.idleReserve = autoscale.IdleReserve(fleet.Usable)
+	requests := s.planner.Plan(fleet, s.demandLocked(now), now)
+	for i := range requests {
+		s.lastSerial++
+		// Tokens are used once and the count only rises under one, so no
+		// request name ever comes again.
+		requests[i].Request = fmt.Sprintf("heronwick-%s-%d-%d", s.opts.Node, s.epoch.Token, s.lastSerial)
+	}
+	return requests
+}
+
+// fleetInUseLocked sums the machines that there are, for planning.
+func (s *Scheduler) fleetInUseLocked(now time.Time) autoscale.Fleet {
+	fleet := autoscale.Fleet{ByZone: map[string]int{}}
+	for _, m := range s.machines {
+		fleet.ByZone[m.Zone]++
+		if !s.usableLocked(m, now) {
+			continue
+		}
+		fleet.Usable++
+		fleet.CPUs += m.Type.CPUs
+		fleet.FreeCPUs += m.Free().CPUs
+	}
+	peers := s.opts.Authority.PeerCapacity()
+	fleet.Usable += peers.Machines
+	fleet.PeerCPUs, fleet.PeerFreeCPUs = peers.CPUs, peers.FreeCPUs
+	return fleet
+}
+
+// demandLocked returns the unmet demand in terms of the planner.
+func (s *Scheduler) demandLocked(now time.Time) []autoscale.Demand {
+	var demand []autoscale.Demand
+	for _, d := range s.unmetDemandLocked(now) {
+		demand = append(demand, autoscale.Demand{Job: &d.job.Record.Job, Size: d.job.Size, ByZone: d.job.Zones, Tasks: d.tasks})
+	}
+	return demand
+}
+
+// renter returns what sends the rent requests of this scheduler.
+func (s *Scheduler) renter() *autoscale.Renter {
+	return &autoscale.Renter{
+		Actions: s.opts.Actions,
+		Plan: func() []wire.RentRequest {
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			return s.rentRequestsLocked(time.Now())
+		},
+		Fence: func() state.FencingCondition {
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			return s.fenceLocked()
+		},
+		Rented: func(req wire.RentRequest, machines []string, err error) {
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			s.takeRentalLocked(req, machines, err)
+		},
+		Log: s.log,
+	}
+}
+
+// takeRentalLocked takes the machines that a rent request has brought, or its error.
+func (s *Scheduler) takeRentalLocked(req wire.RentRequest, names []string, err error) {
+	place := placement.Place{Type: req.Type, Zone: req.Zone, Spot: req.Spot}
+	now := time.Now()
+	filled := err == nil && len(names) >= req.Count
+	s.inventory.NoteAnswer(place, filled, now)
+	if !filled {
+		s.log.Info("rental not filled", "type", req.Type, "zone", req.Zone, "spot", req.Spot, "asked", req.Count, "got", len(names), "err", err)
+	}
+	for _, name := range names {
+		if s.machines[name] == nil && !s.isReleasedLocked(name) && !s.opts.Actions.HasReturnIntent(name) {
+			s.inventory.Expect(name, place, now, now)
+		}
+	}
+	if len(names) > 0 {
+		s.log.Info("rented", "machines", names, "type", req.Type, "zone", req.Zone, "spot", req.Spot)
+	}
+}
--- a/internal/scheduler/takeover.go
+++ b/internal/scheduler/takeover.go
@@ -111,7 +111,3 @@
 		}
 	})
 }
-
-// synced tells whether the worker's heartbeat under its owner's token has come:
-// then the machine's record is settled.
-func (s *Scheduler) synced(m *machine) bool { return m.HeartbeatSeen && m.FencingToken >= m.syncToken }
