--- a/internal/checkpoint/scheduler.go
+++ b/internal/checkpoint/scheduler.go
@@ -47,7 +47,7 @@
 // Committer writes to the store; several writes may be committed together. It
 // returns the version of the commit.
 type Committer interface {
-	Commit(ctx context.Context, w state.Write) (uint64, error)
+	Commit(ctx context.Context, write state.Write) (uint64, error)
 }
 
 // Options configure a Writer.
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -21,7 +21,7 @@
 
 // Store reads the machines' records from the key-value store.
 type Store interface {
-	List(ctx context.Context, p state.Priority, prefix string) (state.Listing, error)
+	List(ctx context.Context, priority state.Priority, prefix string) (state.Listing, error)
 }
 
 // Jobs tells which jobs are active, which are over, and which of their tasks are done.
--- a/internal/scheduler/adoption.go
+++ b/internal/scheduler/adoption.go
@@ -145,5 +145,5 @@
 	for id, outcome := range over {
 		s.endTasksOnLocked(m, id, outcome, now.Add(2*s.opts.Settings.ReportEvery))
 	}
-	s.syncLocked(m)
+	s.queueTokenSyncLocked(m)
 }
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -22,7 +22,7 @@
 		}
 		a.Describe(&r.Job, s.effectivePriorityOf(r))
 		a.Hosted = true
-		s.closeIfEmptyLocked(m)
+		s.updateOpenLocked(m)
 		return
 	}
 	a.Hosted = false
@@ -38,7 +38,7 @@
 		a.Stop = true
 	}
 	s.countAttemptLocked(m.Zone, a)
-	s.closeIfEmptyLocked(m)
+	s.updateOpenLocked(m)
 }
 
 // sizeOf is what each task of a job took that is over.
@@ -63,7 +63,7 @@
 // is queued again, unless it is done or may be elsewhere.
 func (s *Scheduler) uncountAttemptLocked(a *fleet.Attempt) {
 	s.releaseAttemptLocked(a)
-	s.poke()
+	s.wakeLoop()
 }
 
 // releaseAttemptLocked is uncountAttemptLocked without waking the scheduler.
@@ -150,7 +150,7 @@
 		for _, a := range m.Attempts.All() {
 			if a.Task == done.Task && a != done && !a.Exited() {
 				a.Stop = true
-				s.sendLocked(m)
+				s.sendCommandsLocked(m)
 			}
 		}
 	}
@@ -187,7 +187,7 @@
 func (s *Scheduler) numbersLeftLocked(now time.Time) bool {
 	left := s.attemptNumbers.Left(s.epoch.Token)
 	if left < fleet.FewAttemptNumbers {
-		s.raiseLocked(now)
+		s.raiseTokenLocked(now)
 	}
 	return left >= fleet.MinAttemptNumbers
 }
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -31,7 +31,7 @@
 		}
 		if now := time.Now(); now.Sub(listed) > listEvery {
 			listed = now
-			s.readList(ctx)
+			s.readMachineList(ctx)
 		}
 		s.mu.Lock()
 		s.returnIdleLocked(time.Now())
@@ -40,19 +40,19 @@
 	})
 }
 
-// readList reads the cloud's list.
-func (s *Scheduler) readList(ctx context.Context) {
+// readMachineList reads the cloud's list.
+func (s *Scheduler) readMachineList(ctx context.Context) {
 	machines, err := s.opts.Cloud.List(ctx)
 	if err != nil {
 		s.log.Info("listing machines failed", "err", err)
 		return
 	}
-	s.takeList(machines, time.Now())
+	s.takeMachineList(machines, time.Now())
 }
 
-// takeList takes the cloud's list. It lags: a machine that is missing may be
+// takeMachineList takes the cloud's list. It lags: a machine that is missing may be
 // up, and one that is listed may be gone.
-func (s *Scheduler) takeList(machines []wire.Machine, now time.Time) {
+func (s *Scheduler) takeMachineList(machines []wire.Machine, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var failed []string
--- a/internal/scheduler/checkpoints.go
+++ b/internal/scheduler/checkpoints.go
@@ -18,12 +18,12 @@
 		Node: s.opts.Node, Settings: s.opts.Settings, Limit: s.valueLimit,
 		Scheduler: checkpointScheduler{s}, Lock: &s.mu,
 		Committer: s.opts.Committer, Reader: s.opts.Records,
-		Go: s.goDo, Wake: s.poke, Log: s.log,
+		Go: s.spawn, Wake: s.wakeLoop, Log: s.log,
 	})
 }
 
-// commitLocked records new placements.
-func (s *Scheduler) commitLocked() {
+// recordPlacementsLocked records new placements.
+func (s *Scheduler) recordPlacementsLocked() {
 	if !s.currentLocked() {
 		return // would only fail, and failures cost writes too
 	}
@@ -39,8 +39,8 @@
 // tidyEvery is how often buckets are tidied: nobody waits for it.
 const tidyEvery = 10 * time.Second
 
-// tidyLocked removes from the store what it holds of machines that are no longer here.
-func (s *Scheduler) tidyLocked(now time.Time) {
+// tidyRecordsLocked removes from the store what it holds of machines that are no longer here.
+func (s *Scheduler) tidyRecordsLocked(now time.Time) {
 	if s.loaded && s.currentLocked() {
 		s.checkpoints.Tidy(now)
 	}
@@ -97,7 +97,7 @@
 func (s checkpointScheduler) WriteMark() string { return s.writeMarkLocked() }
 
 // CleanupGuard implements checkpoint.Scheduler.
-func (s checkpointScheduler) CleanupGuard() (duty.Guard, error) { return s.cleanupGuard() }
+func (s checkpointScheduler) CleanupGuard() (duty.Guard, error) { return s.recordCleanupGuard() }
 
 // Job implements checkpoint.Scheduler.
 func (s checkpointScheduler) Job(id string) *job.Record {
@@ -117,7 +117,7 @@
 // Recorded implements checkpoint.Scheduler.
 func (s checkpointScheduler) Recorded(m *checkpoint.Machine) {
 	if owned := s.owned(m); owned != nil {
-		s.sendLocked(owned)
+		s.sendCommandsLocked(owned)
 	}
 }
 
@@ -131,7 +131,7 @@
 			}
 		}
 		if owned := s.owned(m); owned != nil {
-			s.closeIfEmptyLocked(owned)
+			s.updateOpenLocked(owned)
 		}
 	}
 	if queued := s.jobOf(id); queued != nil {
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -21,9 +21,9 @@
 	return s.opts.Workers.Command(ctx, address, req)
 }
 
-// wantsDirectLocked tells whether waiting for the next heartbeat would cost
+// needsDirectCommandLocked tells whether waiting for the next heartbeat would cost
 // time: stops make room for what waits.
-func (s *Scheduler) wantsDirectLocked(m *machine) bool {
+func (s *Scheduler) needsDirectCommandLocked(m *machine) bool {
 	for _, a := range m.Attempts.All() {
 		if a.Stop && a.State != "" && !a.Exited() && a.State != wire.TaskSaving {
 			return true
@@ -32,9 +32,9 @@
 	return false
 }
 
-// sendLocked sends a worker what it should be told, without waiting for its
+// sendCommandsLocked sends a worker what it should be told, without waiting for its
 // next heartbeat.
-func (s *Scheduler) sendLocked(m *machine) {
+func (s *Scheduler) sendCommandsLocked(m *machine) {
 	if m.commandPending {
 		m.commandAgain = true
 		return
@@ -49,20 +49,20 @@
 	}
 	m.commandPending = true
 	address := m.Address
-	s.goDo(func(ctx context.Context) {
+	s.spawn(func(ctx context.Context) {
 		heartbeat, err := s.command(ctx, address, req)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		m.commandPending = false
 		m.DirectRequestDone(req, err == nil || errors.Is(err, fleet.ErrNoSocket))
-		if !s.answeredLocked(m, err) {
+		if !s.noteAnswerLocked(m, err) {
 			m.commandAgain = false
 			return
 		}
 		s.applyLocked(m, heartbeat)
 		if m.commandAgain {
 			m.commandAgain = false
-			s.sendLocked(m)
+			s.sendCommandsLocked(m)
 		}
 	})
 }
--- a/internal/scheduler/completions.go
+++ b/internal/scheduler/completions.go
@@ -24,7 +24,7 @@
 func (s completionScheduler) Unlock() { s.mu.Unlock() }
 
 // Go implements completion.Scheduler.
-func (s completionScheduler) Go(work func(ctx context.Context)) { s.goDo(work) }
+func (s completionScheduler) Go(work func(ctx context.Context)) { s.spawn(work) }
 
 // BucketKey implements completion.Scheduler.
 func (s completionScheduler) BucketKey(n uint64) string {
@@ -41,7 +41,7 @@
 func (s completionScheduler) Fence(write state.Write) state.Write { return s.fenceLocked().Bind(write) }
 
 // CleanupGuard implements completion.Scheduler.
-func (s completionScheduler) CleanupGuard() (duty.Guard, error) { return s.cleanupGuard() }
+func (s completionScheduler) CleanupGuard() (duty.Guard, error) { return s.recordCleanupGuard() }
 
 // Commit implements completion.Scheduler.
 func (s completionScheduler) Commit(ctx context.Context, key string, write state.Write) (version uint64, known bool, err error) {
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// flushLocked writes the done tasks of jobs that go on.
-func (s *Scheduler) flushLocked(now time.Time) {
+// flushDoneTasksLocked writes the done tasks of jobs that go on.
+func (s *Scheduler) flushDoneTasksLocked(now time.Time) {
 	if s.loaded && s.currentLocked() && s.completions.FlushDue(now) {
 		s.completions.Flush(now, s.unfinishedLocked())
 	}
@@ -90,7 +90,7 @@
 	}
 	queued.Finishing = true
 	since := time.Now()
-	s.goDo(func(ctx context.Context) {
+	s.spawn(func(ctx context.Context) {
 		for s.finish(ctx, queued, since) {
 		}
 	})
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -50,7 +50,7 @@
 		return // an owner's write of the epoch before may be missing; the watch brings it
 	}
 	if s.loaded && epoch.Token != s.epoch.Token && sameAssignment(&epoch, &s.epoch.Epoch) {
-		s.takeTokenLocked(epoch, condition)
+		s.takeRaisedTokenLocked(epoch, condition)
 	}
 	if epoch.Leader != s.opts.Node {
 		owners.Orphans = nil // the leader's
@@ -61,11 +61,11 @@
 		return
 	}
 	s.rebuilding = true
-	s.goDo(func(ctx context.Context) { s.rebuild(ctx, epoch, condition, gained, adopt) })
+	s.spawn(func(ctx context.Context) { s.rebuild(ctx, epoch, condition, gained, adopt) })
 }
 
-// takeTokenLocked takes an epoch in which only the fencing token has risen.
-func (s *Scheduler) takeTokenLocked(epoch cluster.Epoch, condition wire.Condition) {
+// takeRaisedTokenLocked takes an epoch in which only the fencing token has risen.
+func (s *Scheduler) takeRaisedTokenLocked(epoch cluster.Epoch, condition wire.Condition) {
 	if s.adoptedToken == s.epoch.Token {
 		s.adoptedToken = epoch.Token
 	}
@@ -178,13 +178,13 @@
 // raiseEvery is how often the fencing token may be raised.
 const raiseEvery = 2 * time.Second
 
-// raiseLocked raises the fencing token, now and then.
-func (s *Scheduler) raiseLocked(now time.Time) {
+// raiseTokenLocked raises the fencing token, now and then.
+func (s *Scheduler) raiseTokenLocked(now time.Time) {
 	if s.raisingToken || now.Sub(s.raiseAttemptedAt) <= raiseEvery {
 		return
 	}
 	s.raisingToken, s.raiseAttemptedAt = true, now
-	s.goDo(func(ctx context.Context) {
+	s.spawn(func(ctx context.Context) {
 		if err := s.opts.Authority.AdvanceEpoch(ctx); err != nil {
 			s.log.Info("raising the token failed", "err", err)
 		}
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -65,6 +65,6 @@
 		b.machine.packing.RoomChanged()
 		b.machine.record.Dirty = b.wasDirty
 		s.releaseAttemptLocked(b.attempt)
-		s.closeIfEmptyLocked(b.machine)
+		s.updateOpenLocked(b.machine)
 	}
 }
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -19,10 +19,10 @@
 // takeHandedOverLocked takes a machine that another controller has handed over:
 // nothing is on it, and it can be used at once by what its owner before knew
 // of it.
-func (s *Scheduler) takeHandedOverLocked(name string, o cluster.Owner) {
+func (s *Scheduler) takeHandedOverLocked(name string, owner cluster.Owner) {
 	now := time.Now()
 	var r fleet.Record
-	if err := json.Unmarshal(o.Machine, &r); err != nil {
+	if err := json.Unmarshal(owner.Machine, &r); err != nil {
 		s.log.Error("a handed-over machine record is unreadable", "machine", name, "err", err)
 		return
 	}
@@ -34,7 +34,7 @@
 
 // transfer makes node the owner of the machines of records, or, with no node,
 // tells that they are released.
-func (s *Scheduler) transfer(ctx context.Context, node string, records ownership.Records, priority state.Priority) error {
+func (s *Scheduler) writeTransfer(ctx context.Context, node string, records ownership.Records, priority state.Priority) error {
 	s.mu.Lock()
 	fence := s.fenceLocked()
 	s.mu.Unlock()
@@ -65,8 +65,8 @@
 	if len(names) == 0 {
 		return
 	}
-	s.goDo(func(ctx context.Context) {
-		err := s.transfer(ctx, "", records, state.Background)
+	s.spawn(func(ctx context.Context) {
+		err := s.writeTransfer(ctx, "", records, state.Background)
 		if err != nil {
 			wait.Sleep(ctx, announceRetryAfter)
 		}
@@ -113,7 +113,7 @@
 			return
 		}
 		s.log.Info("handing over machines", "to", node, "count", len(batch.machines), "first", batch.machines[0].Name)
-		s.goDo(func(ctx context.Context) { s.sendHandover(ctx, node, batch) })
+		s.spawn(func(ctx context.Context) { s.sendHandover(ctx, node, batch) })
 	}
 }
 
@@ -145,7 +145,7 @@
 // sendHandover writes a batch. Machines whose write was not carried out stay
 // this scheduler's.
 func (s *Scheduler) sendHandover(ctx context.Context, node string, batch handoverBatch) {
-	err := s.transfer(ctx, node, batch.records, state.Placement)
+	err := s.writeTransfer(ctx, node, batch.records, state.Placement)
 	if err != nil {
 		s.log.Info("handing over machines failed", "to", node, "err", err)
 	}
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -147,18 +147,18 @@
 	if m.Type == nil {
 		m.Type = s.types[m.TypeName]
 	}
-	s.handleLocked(m, events)
+	s.handleEventsLocked(m, events)
 	if len(events) > 0 {
-		s.poke()
+		s.wakeLoop()
 	}
-	if s.wantsDirectLocked(m) {
-		s.sendLocked(m)
+	if s.needsDirectCommandLocked(m) {
+		s.sendCommandsLocked(m)
 	}
 	return true
 }
 
-// handleLocked draws the consequences of what a heartbeat or a proof told.
-func (s *Scheduler) handleLocked(m *machine, events []fleet.Event) {
+// handleEventsLocked draws the consequences of what a heartbeat or a proof told.
+func (s *Scheduler) handleEventsLocked(m *machine, events []fleet.Event) {
 	for _, e := range events {
 		a := e.Attempt
 		switch e.Kind {
@@ -183,5 +183,5 @@
 			s.uncountAttemptLocked(a)
 		}
 	}
-	s.closeIfEmptyLocked(m)
+	s.updateOpenLocked(m)
 }
--- a/internal/scheduler/hosting.go
+++ b/internal/scheduler/hosting.go
@@ -37,7 +37,7 @@
 		s.placeWantedLocked(req.Node, overloaded, wanted, reply, now)
 	}
 	if len(reply.Taken) > 0 {
-		s.poke()
+		s.wakeLoop()
 	}
 	return reply
 }
@@ -268,5 +268,5 @@
 			m.Attempts.Delete(a.Key)
 		}
 	}
-	s.closeIfEmptyLocked(m)
+	s.updateOpenLocked(m)
 }
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -20,7 +20,7 @@
 		return
 	}
 	s.resolvingJobs[id] = true
-	s.goDo(func(ctx context.Context) {
+	s.spawn(func(ctx context.Context) {
 		for !s.resolveJob(ctx, id) {
 			if !wait.Sleep(ctx, resolveRetry) {
 				return
@@ -58,7 +58,7 @@
 func (s *Scheduler) JobAdded(r *job.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	defer s.poke()
+	defer s.wakeLoop()
 	if s.ownsJobLocked(&r.Job) && s.jobs[r.Job.ID] == nil {
 		if !s.acceptedInEpochLocked(r) {
 			// Its owner before may have placed it, which the records tell.
@@ -123,7 +123,7 @@
 	for _, m := range s.machines {
 		s.endTasksOnLocked(m, id, outcome, goneBy)
 	}
-	s.poke()
+	s.wakeLoop()
 }
 
 func (s *Scheduler) endTasksOnLocked(m *machine, id string, outcome job.Outcome, goneBy time.Time) {
@@ -154,7 +154,7 @@
 		}
 	}
 	if touched {
-		s.closeIfEmptyLocked(m)
-		s.sendLocked(m)
+		s.updateOpenLocked(m)
+		s.sendCommandsLocked(m)
 	}
 }
--- a/internal/scheduler/loop.go
+++ b/internal/scheduler/loop.go
@@ -55,7 +55,7 @@
 		s.upkeep.summarized = now
 		s.summarizeLocked(now)
 	}
-	s.flushLocked(now)
+	s.flushDoneTasksLocked(now)
 	s.announceReleasesLocked()
 	if now.Sub(s.upkeep.closed) > closeReturnsEvery {
 		s.upkeep.closed = now
@@ -63,7 +63,7 @@
 	}
 	if now.Sub(s.upkeep.tidied) > tidyEvery {
 		s.upkeep.tidied = now
-		s.tidyLocked(now)
+		s.tidyRecordsLocked(now)
 	}
 	if now.Sub(s.upkeep.logged) > logLoadEvery {
 		s.upkeep.logged = now
@@ -80,7 +80,7 @@
 		s.followEpochLocked()
 	}
 	s.scheduleLocked(time.Now())
-	s.commitLocked()
+	s.recordPlacementsLocked()
 	s.placeRemotelyLocked(time.Now())
 	s.detector.NoteDelay(max(locked.Sub(began), time.Since(locked)), time.Now())
 	s.mu.Unlock()
@@ -105,10 +105,10 @@
 // recheckEpoch has the next pass look at who owns what.
 func (s *Scheduler) recheckEpoch() {
 	s.epochChecked.Store(false)
-	s.poke()
+	s.wakeLoop()
 }
 
-func (s *Scheduler) poke() {
+func (s *Scheduler) wakeLoop() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -59,8 +59,8 @@
 	return sized
 }
 
-// closeIfEmptyLocked takes a machine whose last task has ended off the list.
-func (s *Scheduler) closeIfEmptyLocked(m *machine) {
+// updateOpenLocked takes a machine whose last task has ended off the list.
+func (s *Scheduler) updateOpenLocked(m *machine) {
 	if m.ActiveCount() > 0 {
 		if !s.packer.Open.Has(m.packing) {
 			s.packer.Open.Append(m.packing)
@@ -79,8 +79,8 @@
 	if s.inventory.IsReleased(name) {
 		return true
 	}
-	o, _ := s.opts.Authority.OwnerOf(name)
-	return o.Released()
+	owner, _ := s.opts.Authority.OwnerOf(name)
+	return owner.Released()
 }
 
 // drainLocked empties a machine that the cloud will take away, or whose lease
@@ -94,14 +94,14 @@
 		if a.Service || a.GraceS > 0 || a.Running.IsZero() {
 			s.log.Info("draining", "task", a.Task, "machine", m.Name)
 			a.Stop = true
-			s.sendLocked(m)
+			s.sendCommandsLocked(m)
 		}
 	}
 }
 
 // removeReleasedLocked removes a machine that was released to the cloud.
 func (s *Scheduler) removeReleasedLocked(m *machine) {
-	s.handleLocked(m, m.MarkReleased())
+	s.handleEventsLocked(m, m.MarkReleased())
 	s.packer.Open.Close(m.packing)
 	s.checkpoints.Leave(&m.record)
 	delete(s.machines, m.Name)
--- a/internal/scheduler/machinewatch.go
+++ b/internal/scheduler/machinewatch.go
@@ -58,7 +58,7 @@
 		s.returnLocked(machines, reason)
 	}
 	if raise {
-		s.raiseLocked(now)
+		s.raiseTokenLocked(now)
 	}
 }
 
@@ -75,7 +75,7 @@
 	settled := now.Sub(s.leaderSince) > resignAfter && elsewhere > len(s.machines)/3
 	if settled || elsewhere > assessment.Reachable {
 		s.resignedAt = now
-		s.goDo(s.opts.Resign)
+		s.spawn(s.opts.Resign)
 	}
 }
 
@@ -86,7 +86,7 @@
 	}
 	if expiry, ok := s.leaseExpiryLocked(m); ok && !now.Before(expiry) {
 		s.log.Info("lease expired", "machine", m.Name, "tasks", m.ActiveCount())
-		s.handleLocked(m, m.MarkLeaseExpired())
+		s.handleEventsLocked(m, m.MarkLeaseExpired())
 	}
 }
 
--- a/internal/scheduler/options.go
+++ b/internal/scheduler/options.go
@@ -30,7 +30,7 @@
 	Ownership() cluster.Ownership
 	HeartbeatTarget(machine string) (node string, owned bool)
 	HostOf(epoch *cluster.Epoch, machine string) string
-	OwnerOf(machine string) (o cluster.Owner, named bool)
+	OwnerOf(machine string) (owner cluster.Owner, named bool)
 	Fresh() bool
 	NewTransfer(node string, machines map[string]json.RawMessage) (write cluster.TransferWrite, ok bool)
 	NoteOwner(change wire.Change, version uint64)
@@ -59,27 +59,27 @@
 
 // Jobs holds the jobs' records and tells the scheduler of new and ended jobs.
 type Jobs interface {
-	Listen(l job.Listener)
+	Listen(listener job.Listener)
 	Active(id string) *job.Record
 	AllActive() []*job.Record
 	Ended(id string) bool
-	Readiness(r *job.Record) job.Readiness
+	Readiness(record *job.Record) job.Readiness
 	Resolve(ctx context.Context, id string) (job.Resolution, error)
 	ReadDone(ctx context.Context) ([]job.DoneBucket, error)
-	Finish(ctx context.Context, r *job.Record, fence state.FencingCondition) error
-	SetProgress(id string, p job.Progress)
+	Finish(ctx context.Context, record *job.Record, fence state.FencingCondition) error
+	SetProgress(id string, progress job.Progress)
 }
 
 // Records reads the machines' records from the consensus-backed key-value store.
 type Records interface {
-	Get(ctx context.Context, p state.Priority, key string) (wire.Item, error)
-	List(ctx context.Context, p state.Priority, prefix string) (state.Listing, error)
+	Get(ctx context.Context, priority state.Priority, key string) (wire.Item, error)
+	List(ctx context.Context, priority state.Priority, prefix string) (state.Listing, error)
 }
 
 // Committer writes to the consensus-backed key-value store; several writes
 // may be committed together. It returns the version of the commit.
 type Committer interface {
-	Commit(ctx context.Context, w state.Write) (uint64, error)
+	Commit(ctx context.Context, write state.Write) (uint64, error)
 }
 
 // Options configure a Scheduler.
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -84,7 +84,7 @@
 	}
 	if queued.ImageWaitSince.IsZero() {
 		queued.ImageWaitSince = now
-		time.AfterFunc(imageWaitTimeout, s.poke)
+		time.AfterFunc(imageWaitTimeout, s.wakeLoop)
 	}
 	return now.Sub(queued.ImageWaitSince) < imageWaitTimeout
 }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -103,7 +103,7 @@
 		s.log.Info("preempting", "task", a.Task, "machine", m.Name, "for", queued.Record.Job.ID)
 		a.Stop = true
 	}
-	s.sendLocked(m)
+	s.sendCommandsLocked(m)
 }
 
 // stoppingLocked tells whether any task is being stopped.
--- a/internal/scheduler/probes.go
+++ b/internal/scheduler/probes.go
@@ -43,13 +43,13 @@
 	}
 	m.BeginProbe(now)
 	address, incarnation, seq := m.Address, m.Incarnation, m.Seq
-	s.goDo(func(ctx context.Context) {
+	s.spawn(func(ctx context.Context) {
 		heartbeat, err := s.probe(ctx, address)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		m.EndRequest()
 		switch {
-		case !s.answeredLocked(m, err):
+		case !s.noteAnswerLocked(m, err):
 			s.probeFailedLocked(m, err, now)
 		case heartbeat.Machine == m.Name && (heartbeat.Incarnation < incarnation || heartbeat.Incarnation == incarnation && heartbeat.Seq < seq):
 			s.returnRestartedLocked(m)
@@ -100,9 +100,9 @@
 	}
 }
 
-// answeredLocked notes whether a direct request was answered: a worker that does
+// noteAnswerLocked notes whether a direct request was answered: a worker that does
 // not answer gets nothing new, though its heartbeats arrive.
-func (s *Scheduler) answeredLocked(m *machine, err error) bool {
+func (s *Scheduler) noteAnswerLocked(m *machine, err error) bool {
 	if err == nil {
 		m.NoteReachable()
 		return true
--- a/internal/scheduler/readiness.go
+++ b/internal/scheduler/readiness.go
@@ -24,7 +24,7 @@
 		}
 	}
 	s.reprioritizeLocked(changed)
-	s.poke()
+	s.wakeLoop()
 }
 
 // reprioritizeLocked gives the attempts of jobs, by ID, another effective
--- a/internal/scheduler/remoteplacement.go
+++ b/internal/scheduler/remoteplacement.go
@@ -102,7 +102,7 @@
 		return
 	}
 	s.placeThrottle.Begin(node)
-	s.goDo(func(ctx context.Context) {
+	s.spawn(func(ctx context.Context) {
 		reply, err := s.sendPlaceRequest(ctx, node, req)
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -177,7 +177,7 @@
 			s.takePlacedAttemptLocked(node, wanted.Job, remote.KeyOf(at), taken, err)
 		}
 	}
-	s.poke()
+	s.wakeLoop()
 }
 
 // placeOutcome is what a reply means for when the peer is asked again.
--- a/internal/scheduler/returns.go
+++ b/internal/scheduler/returns.go
@@ -45,7 +45,7 @@
 		return
 	}
 	ret := autoscale.Return{Duty: id, Fence: s.fenceLocked(), Machines: names, Reason: reason}
-	s.goDo(func(ctx context.Context) { s.returner().Execute(ctx, ret) })
+	s.spawn(func(ctx context.Context) { s.returner().Execute(ctx, ret) })
 }
 
 // selectReturnsLocked marks as returning as many of the machines as fit one
@@ -92,7 +92,7 @@
 			s.removeReleasedLocked(m)
 		}
 	}
-	s.poke()
+	s.wakeLoop()
 }
 
 // abortReturnLocked keeps machines whose return could not be recorded, and
@@ -121,13 +121,15 @@
 	return names
 }
 
-// cleanupDuty is the duty of removing this scheduler's records.
-func (s *Scheduler) cleanupDuty() duty.ID {
+// recordCleanupDuty is the duty of removing this scheduler's records.
+func (s *Scheduler) recordCleanupDuty() duty.ID {
 	return duty.ID{Name: duty.Cleanup, Scope: duty.Shard(s.opts.Node)}
 }
 
-// cleanupGuard returns the right to remove this scheduler's records.
-func (s *Scheduler) cleanupGuard() (duty.Guard, error) { return s.opts.Actions.Guard(s.cleanupDuty()) }
+// recordCleanupGuard returns the right to remove this scheduler's records.
+func (s *Scheduler) recordCleanupGuard() (duty.Guard, error) {
+	return s.opts.Actions.Guard(s.recordCleanupDuty())
+}
 
 // closeReturnsLocked removes the return intents whose machines are released,
 // once no other controller takes those for machines that are there.
@@ -139,7 +141,7 @@
 	for _, name := range s.transfers.Unannounced() {
 		unannounced[name] = true
 	}
-	s.goDo(func(ctx context.Context) {
-		s.opts.Actions.CloseReturns(ctx, s.cleanupDuty(), func(machine string) bool { return !unannounced[machine] })
+	s.spawn(func(ctx context.Context) {
+		s.opts.Actions.CloseReturns(ctx, s.recordCleanupDuty(), func(machine string) bool { return !unannounced[machine] })
 	})
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -54,7 +54,7 @@
 	valueLimit        *checkpoint.ValueLimit
 	checkpoints       *checkpoint.Writer  // records what may be on the machines
 	transfers         ownership.Transfers // changes of owner that are not written yet
-	takeover          takeover
+	tokenSync         tokenSync
 	probeRate         *rate.Limiter
 	detector          *detector.Detector
 	packer            *packing.Packer
@@ -98,7 +98,7 @@
 	s.detector = detector.New(detector.Settings{HeartbeatInterval: opts.Settings.ReportEvery, LeaseDuration: opts.Settings.LeaseFor,
 		CommandTimeout: commandTimeout, Latency: opts.Latency})
 	s.completions = completion.NewTable(completionScheduler{s}, opts.Settings, s.log)
-	s.takeover.rate, s.probeRate = tokenRequestRate(opts.Settings.CoreShare), probeRate(opts.Settings.CoreShare)
+	s.tokenSync.rate, s.probeRate = tokenRequestRate(opts.Settings.CoreShare), probeRate(opts.Settings.CoreShare)
 	for i := range opts.Types {
 		s.types[opts.Types[i].Name] = &opts.Types[i]
 	}
@@ -118,8 +118,8 @@
 	return g.Wait()
 }
 
-// goDo starts work that belongs to the scheduler and ends with it.
-func (s *Scheduler) goDo(f func(ctx context.Context)) {
+// spawn starts work that belongs to the scheduler and ends with it.
+func (s *Scheduler) spawn(f func(ctx context.Context)) {
 	s.group.Go(func() error {
 		f(s.ctx)
 		return nil
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -19,7 +19,7 @@
 			usable++
 		}
 	}
-	_, total, free := s.statusLocked(now)
+	_, total, free := s.capacityLocked(now)
 	for _, queued := range s.jobs {
 		if queued.Ready {
 			waiting += queued.Pending()
@@ -33,8 +33,8 @@
 	s.passes = passTimes{}
 }
 
-// statusLocked sums what the scheduler has.
-func (s *Scheduler) statusLocked(now time.Time) (idle int, total, free placement.Resources) {
+// capacityLocked sums what the scheduler has.
+func (s *Scheduler) capacityLocked(now time.Time) (idle int, total, free placement.Resources) {
 	for _, m := range s.machines {
 		if !s.usableLocked(m, now) {
 			continue
@@ -61,7 +61,7 @@
 const summarizeEvery = 500 * time.Millisecond
 
 func (s *Scheduler) summarizeLocked(now time.Time) {
-	idle, total, free := s.statusLocked(now)
+	idle, total, free := s.capacityLocked(now)
 	s.summary.Store(&summary{machines: len(s.machines), idle: idle, cpus: total.CPUs, freeCPUs: free.CPUs,
 		partitioned: s.detector.Partitioned(), overloaded: s.overloadedLocked(now), wants: s.wantsLocked(now)})
 }
--- a/internal/scheduler/takeover.go
+++ b/internal/scheduler/tokensync.go
@@ -24,9 +24,9 @@
 	tokenRequestPause = 50 * time.Millisecond
 )
 
-// takeover is the part of a takeover that follows the rebuild: the workers of the
+// tokenSync is the part of a takeover that follows the rebuild: the workers of the
 // machines that were taken are shown the scheduler's fencing token.
-type takeover struct {
+type tokenSync struct {
 	unsynced []*machine    // whose workers are still to be shown the token
 	requests int           // that are under way
 	rate     *rate.Limiter // of requests
@@ -38,15 +38,15 @@
 	return limiter(perSecond, max(1, min(maxTokenRequests, int(perSecond/4))))
 }
 
-// syncLocked shows a worker the new token soon and takes its heartbeat: until then
+// queueTokenSyncLocked shows a worker the new token soon and takes its heartbeat: until then
 // nothing may be placed on its machine.
-func (s *Scheduler) syncLocked(m *machine) {
+func (s *Scheduler) queueTokenSyncLocked(m *machine) {
 	if m.mustStop() {
-		s.takeover.unsynced = slices.Insert(s.takeover.unsynced, 0, m)
+		s.tokenSync.unsynced = slices.Insert(s.tokenSync.unsynced, 0, m)
 	} else {
-		s.takeover.unsynced = append(s.takeover.unsynced, m)
+		s.tokenSync.unsynced = append(s.tokenSync.unsynced, m)
 	}
-	s.syncNextLocked()
+	s.syncNextWorkersLocked()
 }
 
 // mustStop tells whether a cancelled job's task may be on the machine: showing
@@ -60,9 +60,9 @@
 	return false
 }
 
-// syncNextLocked goes on with the workers that still have not sent a heartbeat.
-func (s *Scheduler) syncNextLocked() {
-	t := &s.takeover
+// syncNextWorkersLocked goes on with the workers that still have not sent a heartbeat.
+func (s *Scheduler) syncNextWorkersLocked() {
+	t := &s.tokenSync
 	for t.requests < maxTokenRequests && len(t.unsynced) > 0 {
 		m := t.unsynced[0]
 		if m.Address == "" || m.RequestPending() || s.machines[m.Name] != m || s.synced(m) {
@@ -72,42 +72,42 @@
 		if !m.mustStop() && !t.rate.Allow() {
 			if !t.paused {
 				t.paused = true
-				time.AfterFunc(tokenRequestPause, s.resumeSync)
+				time.AfterFunc(tokenRequestPause, s.resumeTokenSync)
 			}
 			return
 		}
 		t.unsynced = t.unsynced[1:]
-		s.showTokenLocked(m)
+		s.sendTokenLocked(m)
 	}
 }
 
-// resumeSync goes on after a pause.
-func (s *Scheduler) resumeSync() {
+// resumeTokenSync goes on after a pause.
+func (s *Scheduler) resumeTokenSync() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.takeover.paused = false; s.ctx.Err() == nil {
-		s.syncNextLocked()
+	if s.tokenSync.paused = false; s.ctx.Err() == nil {
+		s.syncNextWorkersLocked()
 	}
 }
 
-// showTokenLocked sends a worker the token, without any command, and takes the
+// sendTokenLocked sends a worker the token, without any command, and takes the
 // heartbeat with which it answers.
-func (s *Scheduler) showTokenLocked(m *machine) {
+func (s *Scheduler) sendTokenLocked(m *machine) {
 	m.BeginRequest()
-	s.takeover.requests++
+	s.tokenSync.requests++
 	address := m.Address
 	req := &wire.CommandRequest{FencingToken: s.opts.Authority.Token(), Incarnation: m.Incarnation, Commands: []wire.Command{}}
-	s.goDo(func(ctx context.Context) {
+	s.spawn(func(ctx context.Context) {
 		heartbeat, err := s.command(ctx, address, req)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		m.EndRequest()
-		s.takeover.requests--
-		if s.answeredLocked(m, err) {
+		s.tokenSync.requests--
+		if s.noteAnswerLocked(m, err) {
 			s.applyLocked(m, heartbeat)
 		}
 		if ctx.Err() == nil {
-			s.syncNextLocked()
+			s.syncNextWorkersLocked()
 		}
 	})
 }
