--- a/internal/packing/reservations.go
+++ b/internal/packing/reservations.go
@@ -14,9 +14,8 @@
 const ReservationTimeout = 2 * remote.RetryAfter
 
 // Reserve reserves free room for the tasks of a hosted job that found none, at
-// most for limit of them: on open machines first, then on idle ones. With
-// withImage, only on machines that hold the job's image.
-func (p *Packer) Reserve(hosted *queue.Job, limit int, withImage bool, now time.Time) {
+// most for limit of them: on open machines first, then on idle ones.
+func (p *Packer) Reserve(hosted *queue.Job, limit int, images queue.ImagePolicy, now time.Time) {
 	id := hosted.Record.Job.ID
 	reserved := p.reserved(now)
 	wants := min(hosted.OwnerUnplaced, limit) - reserved[id]
@@ -24,7 +23,7 @@
 		return
 	}
 	reserve := func(m *Machine) {
-		for wants > 0 && p.mayReserve(hosted, m, withImage, now) {
+		for wants > 0 && p.mayReserve(hosted, m, images, now) {
 			m.Reserve(id, hosted.Size, now)
 			reserved[id]++
 			wants--
@@ -40,15 +39,15 @@
 			reserve(m)
 		}
 	}
-	if !withImage && wants > 0 {
+	if images == queue.ImageOptional && wants > 0 {
 		p.SetFull(hosted)
 	}
 }
 
 // mayReserve tells whether the machine has room, beside all reservations, for
 // another task of the hosted job.
-func (p *Packer) mayReserve(hosted *queue.Job, m *Machine, withImage bool, now time.Time) bool {
-	return (!withImage || m.HasImage(hosted.Record.Job.Image)) && p.Fits(hosted, m, now) &&
+func (p *Packer) mayReserve(hosted *queue.Job, m *Machine, images queue.ImagePolicy, now time.Time) bool {
+	return (images == queue.ImageOptional || m.HasImage(hosted.Record.Job.Image)) && p.Fits(hosted, m, now) &&
 		hosted.Size.Within(p.unreserved(m, "", now))
 }
 
--- a/internal/queue/job.go
+++ b/internal/queue/job.go
@@ -10,6 +10,17 @@
 	"heronwick/wire"
 )
 
+// ImagePolicy says on which machines room is looked for.
+type ImagePolicy int
+
+const (
+	// ImageOptional permits all machines: one without the job's image fetches it.
+	ImageOptional ImagePolicy = iota
+	// ImageRequired permits only machines that hold the job's image.
+	ImageRequired
+	imagePolicies // how many there are
+)
+
 // Job is a job of the queue: one of the scheduler's own, or a hosted one, of
 // which another scheduler asks to place tasks here.
 type Job struct {
@@ -39,12 +50,12 @@
 	Succeeded bool            // a task of it has succeeded
 	NotBefore time.Time       // no task of it is placed before then
 
-	UnplacedSince  time.Time     // since when a task has found no room; zero: none waits
-	ImageFetchTime time.Duration // about how long its image takes to fetch
-	DeferredSince  time.Time     // since when it leaves room where its image is not to others; zero: it does not
-	ImageWaitSince time.Time     // since when room beside its image is looked for at other schedulers
-	PreemptedAt    time.Time     // when tasks were last stopped for this job
-	NoVictimAt     [2]time.Time  // when no task was found to stop, anywhere or beside its image
+	UnplacedSince  time.Time                // since when a task has found no room; zero: none waits
+	ImageFetchTime time.Duration            // about how long its image takes to fetch
+	DeferredSince  time.Time                // since when it leaves room where its image is not to others; zero: it does not
+	ImageWaitSince time.Time                // since when room beside its image is looked for at other schedulers
+	PreemptedAt    time.Time                // when tasks were last stopped for this job
+	NoVictimAt     [imagePolicies]time.Time // when no task was last found to stop, by the machines searched
 
 	ReportedProgress  job.Progress
 	ProgressChangedAt time.Time // when ReportedProgress last changed
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -29,10 +29,7 @@
 			queued.UnplacedSince = time.Time{}
 			return
 		}
-		m, _ := s.findWithImageLocked(queued, now, false)
-		if m == nil {
-			m = s.findAnyLocked(queued, now)
-		}
+		m := s.findForGangTaskLocked(queued, now)
 		if m == nil {
 			break
 		}
@@ -53,6 +50,16 @@
 	}
 }
 
+// findForGangTaskLocked finds a machine for a gang's next task, one that holds its
+// image first; nil if there is none.
+func (s *Scheduler) findForGangTaskLocked(queued *queue.Job, now time.Time) *machine {
+	const guaranteed = false // counts only for services, for which others are stopped
+	if m, _ := s.findWithImageLocked(queued, now, guaranteed); m != nil {
+		return m
+	}
+	return s.findAnyLocked(queued, now)
+}
+
 // freeBookingsLocked takes back the bookings of a gang that found no room as a
 // whole, without waking the scheduler or writing records: that would set off
 // the next try at once, for as long as the gang waits.
--- a/internal/scheduler/hosting.go
+++ b/internal/scheduler/hosting.go
@@ -146,7 +146,7 @@
 	if m = s.findAnyLocked(r.job, now); m != nil {
 		return m, false
 	}
-	return nil, s.preemptLocked(r.job, now, false, r.wanted.Guaranteed)
+	return nil, s.preemptLocked(r.job, now, queue.ImageOptional, r.wanted.Guaranteed)
 }
 
 // hostLocked books an attempt of another controller's job on a machine.
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -67,39 +67,26 @@
 func (s *Scheduler) serveTurnLocked(turn []queue.Entry, now time.Time) {
 	s.fetchDeferred = false
 	for _, entry := range turn {
-		s.serveLocked(entry.Job, now, true)
+		s.serveLocked(entry.Job, now, queue.ImageRequired)
 	}
 	for _, entry := range turn {
-		s.serveLocked(entry.Job, now, false)
+		s.serveLocked(entry.Job, now, queue.ImageOptional)
 	}
 }
 
-// serveLocked places tasks of a job, or reserves room for a hosted one. With
-// withImage, those of an array go only to machines that hold its image.
-func (s *Scheduler) serveLocked(queued *queue.Job, now time.Time, withImage bool) {
+// serveLocked places tasks of a job, or reserves room for a hosted one. Only of arrays
+// and hosted jobs it depends on images where: the others are served once, in the
+// first round of a turn.
+func (s *Scheduler) serveLocked(queued *queue.Job, now time.Time, images queue.ImagePolicy) {
 	switch {
 	case queued.Hosted:
-		s.packer.Reserve(queued, maxRequestTasksPerJob, withImage, now)
+		s.packer.Reserve(queued, maxRequestTasksPerJob, images, now)
 	case queued.Record.Job.Kind == wire.KindArray:
-		s.placeJobLocked(queued, now, withImage)
-	case !withImage:
+		s.placeJobLocked(queued, now, images)
+	case images != queue.ImageRequired:
 	case queued.Record.Job.Kind == wire.KindGang:
 		s.placeGangLocked(queued, now)
 	default:
-		s.placeJobLocked(queued, now, false)
+		s.placeJobLocked(queued, now, queue.ImageOptional)
 	}
 }
-
-// defersFetchLocked tells whether a job leaves a machine that would have to
-// fetch its image to others whose image it holds: for as long as the fetch
-// would take, since then waiting has cost as much, and whenever one before it
-// in the same turn does.
-func (s *Scheduler) defersFetchLocked(queued *queue.Job, now time.Time) bool {
-	if queued.DeferredSince.IsZero() {
-		queued.DeferredSince = now
-	}
-	if now.Sub(queued.DeferredSince) <= queued.ImageFetchTime {
-		s.fetchDeferred = true
-	}
-	return s.fetchDeferred
-}
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -8,10 +8,10 @@
 	"heronwick/wire"
 )
 
-// placeJobLocked places a job's tasks as far as there is room. With withImage, they
-// go where the job's image is, and elsewhere only once the job has passed up
-// enough.
-func (s *Scheduler) placeJobLocked(queued *queue.Job, now time.Time, withImage bool) {
+// placeJobLocked places a job's tasks as far as there is room. With
+// ImageRequired, they go where the job's image is, and elsewhere only once the
+// job has left room there to others for long enough.
+func (s *Scheduler) placeJobLocked(queued *queue.Job, now time.Time, images queue.ImagePolicy) {
 	for {
 		index, ok := queued.NextTask()
 		if !ok {
@@ -24,29 +24,12 @@
 			queued.UnplacedSince = time.Time{} // more machines would not help
 			return
 		}
-		var m *machine
-		if full := s.packer.Full(queued, now); !full || queued.IsService() {
-			var wait bool
-			m, wait = s.findWithImageLocked(queued, now, s.teams.Guaranteed(queued))
-			if wait || m == nil && s.awaitImageLocked(queued, now) {
-				return
-			}
-			switch {
-			case m != nil:
-				queued.DeferredSince = time.Time{}
-			case full:
-			case withImage && s.packer.HasRoom(queued, now) && s.defersFetchLocked(queued, now):
-				return
-			default:
-				m = s.findAnyLocked(queued, now)
-			}
+		m, waits := s.findForTaskLocked(queued, now, images)
+		if waits {
+			return
 		}
 		if m == nil {
-			s.packer.SetFull(queued)
-			if queued.UnplacedSince.IsZero() {
-				queued.UnplacedSince = now
-			}
-			s.preemptLocked(queued, now, false, s.teams.Guaranteed(queued))
+			s.noRoomLocked(queued, now)
 			return
 		}
 		queued.Dequeue()
@@ -54,14 +37,63 @@
 	}
 }
 
+// findForTaskLocked finds a machine for the job's next task, nil if there is no
+// room. waits tells that the task waits although there may be room: for what is
+// being stopped beside its image, for the other schedulers' answers, or for others
+// that need no fetch there.
+func (s *Scheduler) findForTaskLocked(queued *queue.Job, now time.Time, images queue.ImagePolicy) (m *machine, waits bool) {
+	full := s.packer.Full(queued, now)
+	if full && !queued.IsService() {
+		return nil, false
+	}
+	m, making := s.findWithImageLocked(queued, now, s.teams.Guaranteed(queued))
+	if making || m == nil && s.awaitImageLocked(queued, now) {
+		return nil, true
+	}
+	switch {
+	case m != nil:
+		queued.DeferredSince = time.Time{}
+		return m, false
+	case full:
+		return nil, false
+	case images == queue.ImageRequired && s.packer.HasRoom(queued, now) && s.defersFetchLocked(queued, now):
+		return nil, true
+	}
+	return s.findAnyLocked(queued, now), false
+}
+
+// defersFetchLocked tells whether a job leaves a machine that would have to
+// fetch its image to others whose image it holds: for as long as the fetch
+// would take, since then waiting has cost as much, and whenever one before it
+// in the same turn does.
+func (s *Scheduler) defersFetchLocked(queued *queue.Job, now time.Time) bool {
+	if queued.DeferredSince.IsZero() {
+		queued.DeferredSince = now
+	}
+	if now.Sub(queued.DeferredSince) <= queued.ImageFetchTime {
+		s.fetchDeferred = true
+	}
+	return s.fetchDeferred
+}
+
+// noRoomLocked notes that a job's next task finds no room, and stops other tasks
+// for it as far as the rules permit.
+func (s *Scheduler) noRoomLocked(queued *queue.Job, now time.Time) {
+	s.packer.SetFull(queued)
+	if queued.UnplacedSince.IsZero() {
+		queued.UnplacedSince = now
+	}
+	s.preemptLocked(queued, now, queue.ImageOptional, s.teams.Guaranteed(queued))
+}
+
 // findWithImageLocked opens or finds a machine for the job that holds its image.
 // For a service, room is made on one of those before another machine fetches
-// the image; wait tells that this is under way.
-func (s *Scheduler) findWithImageLocked(queued *queue.Job, now time.Time, guaranteed bool) (m *machine, wait bool) {
+// the image; making tells that this is under way.
+func (s *Scheduler) findWithImageLocked(queued *queue.Job, now time.Time, guaranteed bool) (m *machine, making bool) {
 	if found := s.packer.WithImage(queued, now); found != nil {
 		return s.machines[found.Name], false
 	}
-	return nil, queued.IsService() && s.preemptLocked(queued, now, true, guaranteed)
+	return nil, queued.IsService() && s.preemptLocked(queued, now, queue.ImageRequired, guaranteed)
 }
 
 // findAnyLocked opens or finds a machine for the job, whatever images it holds.
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -48,14 +48,14 @@
 }
 
 // preemptLocked stops tasks to make room for one task of the job, as far as
-// the rules of preemption permit, on the machine where that loses least; if
-// so asked, only on machines that hold the job's image. It tells whether room
-// is being made.
-func (s *Scheduler) preemptLocked(queued *queue.Job, now time.Time, held, guaranteed bool) bool {
+// the rules of preemption permit, on the machine where that loses least. It
+// tells whether room is being made. guaranteed is whether the job's team stays
+// within its guarantee with the task.
+func (s *Scheduler) preemptLocked(queued *queue.Job, now time.Time, images queue.ImagePolicy, guaranteed bool) bool {
 	if !s.mayPreemptAnyLocked(queued, guaranteed) {
 		return false
 	}
-	tried := &queued.NoVictimAt[boolInt(held)]
+	tried := &queued.NoVictimAt[images]
 	if now.Sub(*tried) < victimsAfter {
 		return false
 	}
@@ -67,7 +67,7 @@
 		Size: queued.Size, Image: queued.Record.Job.Image, Team: queued.Record.Job.Team, Rank: queued.EffectivePriority,
 		Guaranteed: guaranteed, AboveGuarantee: s.teams.AboveGuarantee,
 	}
-	plan := preemption.Choose(req, s.preemptionMachinesLocked(queued, held, now), now)
+	plan := preemption.Choose(req, s.preemptionMachinesLocked(queued, images, now), now)
 	if plan == nil {
 		*tried = now
 		return false
@@ -78,11 +78,14 @@
 }
 
 // preemptionMachinesLocked yields the machines on which room may be made for
-// the job; with held, those that hold its image.
-func (s *Scheduler) preemptionMachinesLocked(queued *queue.Job, held bool, now time.Time) iter.Seq[*fleet.Machine] {
+// the job.
+func (s *Scheduler) preemptionMachinesLocked(queued *queue.Job, images queue.ImagePolicy, now time.Time) iter.Seq[*fleet.Machine] {
 	return func(yield func(*fleet.Machine) bool) {
 		for _, m := range s.machines {
-			if held && !m.HasImage(queued.Record.Job.Image) || !s.usableLocked(m, now) || !s.packer.Allows(queued, m.packing) {
+			if images == queue.ImageRequired && !m.HasImage(queued.Record.Job.Image) {
+				continue
+			}
+			if !s.usableLocked(m, now) || !s.packer.Allows(queued, m.packing) {
 				continue
 			}
 			if !yield(m.Machine) {
@@ -117,10 +120,3 @@
 	}
 	return false
 }
-
-func boolInt(b bool) int {
-	if b {
-		return 1
-	}
-	return 0
-}
