--- a/internal/completion/flush.go
+++ b/internal/completion/flush.go
@@ -32,14 +32,19 @@
 	// CleanupGuard returns the right to remove the scheduler's records, an error if
 	// another controller has it or nobody.
 	CleanupGuard() (duty.Guard, error)
-	// Commit writes key to the store and returns its version; known tells
-	// whether that is certain, also after an error.
-	Commit(ctx context.Context, key string, write state.Write) (version uint64, known bool, err error)
+	// Commit writes key to the store. The result counts also after an error.
+	Commit(ctx context.Context, key string, write state.Write) (CommitResult, error)
 	// NoteRejected lowers ValueLimit if err says that the store has rejected a
 	// value.
 	NoteRejected(err error)
 }
 
+// CommitResult is what is known of a key after a write to it.
+type CommitResult struct {
+	Version uint64 // of the key
+	Known   bool   // Version is certain
+}
+
 // Done tasks are written often enough that a lost machine takes few results with
 // it, and seldom enough that the ends of many tasks are one change: every
 // minFlushInterval where the store allows flushWriteRPS changes a second, less
@@ -152,12 +157,12 @@
 // commit commits a write and takes its result. The scheduler's lock is not held
 // meanwhile.
 func (t *Table) commit(ctx context.Context, write *bucketWrite) {
-	version, known, err := t.scheduler.Commit(ctx, write.bucket.key, write.request)
+	result, err := t.scheduler.Commit(ctx, write.bucket.key, write.request)
 	t.scheduler.Lock()
 	defer t.scheduler.Unlock()
 	write.bucket.committing = false
-	if known {
-		write.bucket.version = version
+	if result.Known {
+		write.bucket.version = result.Version
 	}
 	if err != nil {
 		t.writeFailed(write, err)
--- a/internal/scheduler/completions.go
+++ b/internal/scheduler/completions.go
@@ -44,13 +44,13 @@
 func (s completionScheduler) CleanupGuard() (duty.Guard, error) { return s.recordCleanupGuard() }
 
 // Commit implements completion.Scheduler.
-func (s completionScheduler) Commit(ctx context.Context, key string, write state.Write) (version uint64, known bool, err error) {
-	version, err = s.opts.Committer.Commit(ctx, write)
+func (s completionScheduler) Commit(ctx context.Context, key string, write state.Write) (completion.CommitResult, error) {
+	version, err := s.opts.Committer.Commit(ctx, write)
 	if err == nil {
-		return version, true, nil
+		return completion.CommitResult{Version: version, Known: true}, nil
 	}
-	version, known = state.Reread(ctx, s.opts.Records, write.Priority, key, err)
-	return version, known, err
+	version, known := state.Reread(ctx, s.opts.Records, write.Priority, key, err)
+	return completion.CommitResult{Version: version, Known: known}, err
 }
 
 // NoteRejected implements completion.Scheduler.
