--- a/internal/scheduler/adoption.go
+++ b/internal/scheduler/adoption.go
@@ -143,7 +143,7 @@
 		s.adoptAttemptLocked(m, a)
 	}
 	for id, outcome := range over {
-		s.endTasksOnLocked(m, id, outcome, now.Add(2*s.opts.Settings.ReportEvery))
+		s.endTasksOnLocked(m, id, outcome, now.Add(2*s.opts.Settings.HeartbeatInterval))
 	}
 	s.queueTokenSyncLocked(m)
 }
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -40,7 +40,7 @@
 	delete(s.resolvingJobs, id)
 	if resolution.Over || !resolution.Found {
 		// When it ended is not known: perhaps long ago.
-		s.endJobLocked(id, resolution.Outcome, time.Now().Add(s.opts.Settings.ReportEvery*2))
+		s.endJobLocked(id, resolution.Outcome, time.Now().Add(s.opts.Settings.HeartbeatInterval*2))
 	}
 	return true
 }
