--- a/cmd/heronwick/membership.go
+++ b/cmd/heronwick/membership.go
@@ -27,7 +27,7 @@
 		MaxValue:      c.settings.ValueBytes,
 		Route:         c.transport,
 		Peers:         peers,
-		LeaseFor:      c.settings.LeaseFor,
+		LeaseFor:      c.settings.LeaseDuration,
 		CancelIn:      c.settings.CancelIn,
 		Cancellations: c.jobs,
 		Slowness:      c.settings.Slowness(),
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -73,7 +73,7 @@
 
 func (s *Settings) setWorkerTimes(c *checker, f *fileWorkers) {
 	s.HeartbeatInterval = c.seconds("cluster.workers.report_s", f.ReportS, minInterval)
-	s.LeaseFor = c.seconds("cluster.workers.lease_s", f.LeaseS, minInterval)
+	s.LeaseDuration = c.seconds("cluster.workers.lease_s", f.LeaseS, minInterval)
 	s.CancelIn = c.seconds("cluster.workers.cancel_s", f.CancelS, minInterval)
 }
 
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -17,7 +17,7 @@
 	Objectives []Objective
 
 	HeartbeatInterval time.Duration // how often a worker sends a heartbeat
-	LeaseFor          time.Duration // how long a worker lives on its last answered heartbeat
+	LeaseDuration     time.Duration // how long a worker lives on its last answered heartbeat
 	CancelIn          time.Duration // by when a cancelled job's tasks must be gone
 
 	// The limits of the key-value store: the lower of those that hold now and of
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -80,7 +80,7 @@
 
 // unknownTasksGrace is how long a worker is answered though it has tasks of jobs of
 // which nothing is known.
-func (s *Scheduler) unknownTasksGrace() time.Duration { return s.opts.Settings.LeaseFor / 4 }
+func (s *Scheduler) unknownTasksGrace() time.Duration { return s.opts.Settings.LeaseDuration / 4 }
 
 // unknownTasksTooLongLocked notes whether a worker has tasks of unknown jobs, and tells
 // whether it has had some for so long that its lease must expire. Such a job may be
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -95,7 +95,7 @@
 	s.packer = packing.New(packingFleet{s})
 	s.planner = &autoscale.Planner{Types: s.types, Inventory: s.inventory}
 	s.checkpoints = s.newCheckpointWriter()
-	s.detector = detector.New(detector.Settings{HeartbeatInterval: opts.Settings.HeartbeatInterval, LeaseDuration: opts.Settings.LeaseFor,
+	s.detector = detector.New(detector.Settings{HeartbeatInterval: opts.Settings.HeartbeatInterval, LeaseDuration: opts.Settings.LeaseDuration,
 		CommandTimeout: commandTimeout, Latency: opts.Latency})
 	s.completions = completion.NewTable(completionScheduler{s}, opts.Settings, s.log)
 	s.tokenSync.rate, s.probeRate = tokenRequestRate(opts.Settings.CoreShare), probeRate(opts.Settings.CoreShare)
