--- a/cmd/heronwick/membership.go
+++ b/cmd/heronwick/membership.go
@@ -28,7 +28,7 @@
 		Route:         c.transport,
 		Peers:         peers,
 		LeaseFor:      c.settings.LeaseDuration,
-		CancelIn:      c.settings.CancelIn,
+		CancelIn:      c.settings.CancelTimeout,
 		Cancellations: c.jobs,
 		Slowness:      c.settings.Slowness(),
 		RunMembership: c.runScheduler,
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -74,7 +74,7 @@
 func (s *Settings) setWorkerTimes(c *checker, f *fileWorkers) {
 	s.HeartbeatInterval = c.seconds("cluster.workers.report_s", f.ReportS, minInterval)
 	s.LeaseDuration = c.seconds("cluster.workers.lease_s", f.LeaseS, minInterval)
-	s.CancelIn = c.seconds("cluster.workers.cancel_s", f.CancelS, minInterval)
+	s.CancelTimeout = c.seconds("cluster.workers.cancel_s", f.CancelS, minInterval)
 }
 
 func (s *Settings) setCloudLimits(c *checker, f *fileCloud) {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -18,7 +18,7 @@
 
 	HeartbeatInterval time.Duration // how often a worker sends a heartbeat
 	LeaseDuration     time.Duration // how long a worker lives on its last answered heartbeat
-	CancelIn          time.Duration // by when a cancelled job's tasks must be gone
+	CancelTimeout     time.Duration // by when a cancelled job's tasks must be gone
 
 	// The limits of the key-value store: the lower of those that hold now and of
 	// those that are announced, which come into force at any moment without notice.
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -99,7 +99,7 @@
 func (s *Scheduler) JobEnded(id string, outcome job.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.endJobLocked(id, outcome, time.Now().Add(s.opts.Settings.CancelIn*3/4))
+	s.endJobLocked(id, outcome, time.Now().Add(s.opts.Settings.CancelTimeout*3/4))
 }
 
 // endJobLocked forgets a job that is over and stops its tasks.
