--- a/cmd/heronwick/runcommand.go
+++ b/cmd/heronwick/runcommand.go
@@ -57,7 +57,7 @@
 	}
 	// Like all timeouts between controllers, it is longer where they are slow.
 	lease := time.Duration(float64(r.DutyLease) * settings.Slowness())
-	if err := duty.CheckLease(lease, len(settings.Peers)+1, settings.StateRPS); err != nil {
+	if err := duty.CheckLease(lease, len(settings.Peers)+1, settings.StateRequestRate); err != nil {
 		return nil, fmt.Errorf("--duty-lease: %w", err)
 	}
 	settings.DutyLease = lease
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -94,14 +94,14 @@
 // come into force.
 func (s *Settings) setStateLimits(c *checker, f *fileState) {
 	const key, nextKey = "cluster.state.", "cluster.state.next."
-	s.StateRPS = c.number(key+"rps", f.RPS, minStateRPS)
+	s.StateRequestRate = c.number(key+"rps", f.RPS, minStateRPS)
 	s.StateWriteRPS = c.number(key+"write_rps", f.WriteRPS, minStateRPS)
 	valueKB := c.number(key+"value_kb", f.ValueKB, minValueKB)
 	s.TxnOps = int(c.integer(key+"txn_ops", f.TxnOps, minTxnOps))
 
 	next := &f.Next
 	if next.RPS != nil {
-		s.StateRPS = min(s.StateRPS, c.number(nextKey+"rps", next.RPS, minStateRPS))
+		s.StateRequestRate = min(s.StateRequestRate, c.number(nextKey+"rps", next.RPS, minStateRPS))
 	}
 	if next.WriteRPS != nil {
 		s.StateWriteRPS = min(s.StateWriteRPS, c.number(nextKey+"write_rps", next.WriteRPS, minStateRPS))
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -23,10 +23,10 @@
 	// The limits of the key-value store: the lower of those that hold now and of
 	// those that are announced, which come into force at any moment without notice.
 
-	StateRPS      float64 // requests a second
-	StateWriteRPS float64 // writes a second
-	ValueBytes    int     // size of a value
-	TxnOps        int     // operations in a transaction
+	StateRequestRate float64 // requests a second
+	StateWriteRPS    float64 // writes a second
+	ValueBytes       int     // size of a value
+	TxnOps           int     // operations in a transaction
 
 	CloudRPS float64       // requests a second that the cloud accepts
 	ListLag  time.Duration // by how much the cloud's list of machines usually lags
