--- a/cmd/heronwick/controller.go
+++ b/cmd/heronwick/controller.go
@@ -69,7 +69,7 @@
 	c := &controller{settings: settings, external: external, log: log}
 	c.latency = c.overload.Latency
 	c.transport = state.NewFailoverTransport(external.state, c.statePeers)
-	c.budget = state.NewBudget(settings.StateRequestRate*nonMemberFraction, settings.StateWriteRPS*nonMemberFraction, settings.TxnOps)
+	c.budget = state.NewBudget(settings.StateRequestRate*nonMemberFraction, settings.StateWriteRate*nonMemberFraction, settings.TxnOps)
 	c.client = state.NewClient(c.transport, c.budget)
 	c.committer = state.NewCommitter(c.client, settings.TxnOps)
 	c.jobs = job.NewStore(job.Options{
--- a/cmd/heronwick/ratelimits.go
+++ b/cmd/heronwick/ratelimits.go
@@ -54,7 +54,7 @@
 	case view.Member:
 		fraction = memberFraction
 	}
-	return c.settings.StateRequestRate * fraction, c.settings.StateWriteRPS * fraction
+	return c.settings.StateRequestRate * fraction, c.settings.StateWriteRate * fraction
 }
 
 // unusedRates is what this controller leaves of its part of the rate limits, a
--- a/internal/checkpoint/journalwrite.go
+++ b/internal/checkpoint/journalwrite.go
@@ -34,7 +34,7 @@
 // schedulers, most of the state service's limit.
 func (w *Writer) journalEvery() time.Duration {
 	const part = 6 // of the writes of all controllers
-	return time.Duration(part / max(w.opts.Settings.StateWriteRPS, 1) * float64(time.Second))
+	return time.Duration(part / max(w.opts.Settings.StateWriteRate, 1) * float64(time.Second))
 }
 
 // Whoever takes over reads what the journals hold together, so their number is
--- a/internal/completion/flush.go
+++ b/internal/completion/flush.go
@@ -63,7 +63,7 @@
 
 // flushInterval is how often done tasks are written.
 func (t *Table) flushInterval() time.Duration {
-	slower := flushWriteRPS / max(t.settings.StateWriteRPS, 1)
+	slower := flushWriteRPS / max(t.settings.StateWriteRate, 1)
 	return min(max(minFlushInterval, time.Duration(slower*float64(minFlushInterval))), MaxFlushInterval)
 }
 
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -95,7 +95,7 @@
 func (s *Settings) setStateLimits(c *checker, f *fileState) {
 	const key, nextKey = "cluster.state.", "cluster.state.next."
 	s.StateRequestRate = c.number(key+"rps", f.RPS, minStateRPS)
-	s.StateWriteRPS = c.number(key+"write_rps", f.WriteRPS, minStateRPS)
+	s.StateWriteRate = c.number(key+"write_rps", f.WriteRPS, minStateRPS)
 	valueKB := c.number(key+"value_kb", f.ValueKB, minValueKB)
 	s.TxnOps = int(c.integer(key+"txn_ops", f.TxnOps, minTxnOps))
 
@@ -104,7 +104,7 @@
 		s.StateRequestRate = min(s.StateRequestRate, c.number(nextKey+"rps", next.RPS, minStateRPS))
 	}
 	if next.WriteRPS != nil {
-		s.StateWriteRPS = min(s.StateWriteRPS, c.number(nextKey+"write_rps", next.WriteRPS, minStateRPS))
+		s.StateWriteRate = min(s.StateWriteRate, c.number(nextKey+"write_rps", next.WriteRPS, minStateRPS))
 	}
 	if next.ValueKB != nil {
 		valueKB = min(valueKB, c.number(nextKey+"value_kb", next.ValueKB, minValueKB))
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -24,7 +24,7 @@
 	// those that are announced, which come into force at any moment without notice.
 
 	StateRequestRate float64 // requests a second
-	StateWriteRPS    float64 // writes a second
+	StateWriteRate   float64 // writes a second
 	ValueBytes       int     // size of a value
 	TxnOps           int     // operations in a transaction
 
