--- a/cmd/heronwick/controller.go
+++ b/cmd/heronwick/controller.go
@@ -75,11 +75,11 @@
 	c.jobs = job.NewStore(job.Options{
 		Client:              c.client,
 		Committer:           c.committer,
-		MaxValue:            settings.ValueBytes,
+		MaxValue:            settings.MaxValueBytes,
 		AcceptsDependencies: func() bool { return c.members.Supports(cluster.LevelDependencies) },
 		Log:                 log,
 	})
-	c.machineTypes = cloud.NewTypeCache(external.cloud, c.client, settings.ValueBytes, log)
+	c.machineTypes = cloud.NewTypeCache(external.cloud, c.client, settings.MaxValueBytes, log)
 	c.duties = newDuties(c)
 	c.members = newCluster(c)
 	c.jobs.SetReplicator(c.members)
--- a/cmd/heronwick/duties.go
+++ b/cmd/heronwick/duties.go
@@ -41,7 +41,7 @@
 		Ledger:     d.ledger,
 		Committer:  c.committer,
 		Membership: c.dutyMembership,
-		ValueBytes: c.settings.ValueBytes,
+		ValueBytes: c.settings.MaxValueBytes,
 		History:    d.history,
 		Log:        c.log,
 	})
--- a/cmd/heronwick/membership.go
+++ b/cmd/heronwick/membership.go
@@ -24,7 +24,7 @@
 		Node:          c.settings.Node,
 		Client:        c.client,
 		Teams:         teams,
-		MaxValue:      c.settings.ValueBytes,
+		MaxValue:      c.settings.MaxValueBytes,
 		Route:         c.transport,
 		Peers:         peers,
 		LeaseFor:      c.settings.LeaseDuration,
--- a/internal/checkpoint/journalwrite.go
+++ b/internal/checkpoint/journalwrite.go
@@ -47,7 +47,7 @@
 )
 
 func (w *Writer) maxJournals() int {
-	return max(leastJournals, w.scheduler.MachineCount()*bytesPerMachine/w.opts.Settings.ValueBytes)
+	return max(leastJournals, w.scheduler.MachineCount()*bytesPerMachine/w.opts.Settings.MaxValueBytes)
 }
 
 // journalToWrite returns the journal to write, nil if there is none now. If the
--- a/internal/checkpoint/writer.go
+++ b/internal/checkpoint/writer.go
@@ -31,7 +31,7 @@
 		buckets: map[string]*Bucket{}, scattered: map[*Machine]bool{},
 		bucketKey:   func(n uint64) string { return fleet.BucketKey(opts.Node, opts.Scheduler.MemberSince(), n) },
 		journalKey:  func(n int) string { return fleet.JournalKey(opts.Node, opts.Scheduler.MemberSince(), n) },
-		bucketLimit: func() int { return opts.Settings.ValueBytes * 3 / 4 },
+		bucketLimit: func() int { return opts.Settings.MaxValueBytes * 3 / 4 },
 		owns:        opts.Scheduler.Owns,
 	}
 	return w
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -112,7 +112,7 @@
 	if next.TxnOps != nil {
 		s.TxnOps = min(s.TxnOps, int(c.integer(nextKey+"txn_ops", next.TxnOps, minTxnOps)))
 	}
-	s.ValueBytes = int(valueKB * 1024)
+	s.MaxValueBytes = int(valueKB * 1024)
 }
 
 func (s *Settings) setZones(c *checker, zones []string) {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -25,7 +25,7 @@
 
 	StateRequestRate float64 // requests a second
 	StateWriteRate   float64 // writes a second
-	ValueBytes       int     // size of a value
+	MaxValueBytes    int     // size of a value
 	TxnOps           int     // operations in a transaction
 
 	CloudRPS float64       // requests a second that the cloud accepts
