--- a/cmd/heronwick/controller.go
+++ b/cmd/heronwick/controller.go
@@ -69,9 +69,9 @@
 	c := &controller{settings: settings, external: external, log: log}
 	c.latency = c.overload.Latency
 	c.transport = state.NewFailoverTransport(external.state, c.statePeers)
-	c.budget = state.NewBudget(settings.StateRequestRate*nonMemberFraction, settings.StateWriteRate*nonMemberFraction, settings.TxnOps)
+	c.budget = state.NewBudget(settings.StateRequestRate*nonMemberFraction, settings.StateWriteRate*nonMemberFraction, settings.MaxTxnOps)
 	c.client = state.NewClient(c.transport, c.budget)
-	c.committer = state.NewCommitter(c.client, settings.TxnOps)
+	c.committer = state.NewCommitter(c.client, settings.MaxTxnOps)
 	c.jobs = job.NewStore(job.Options{
 		Client:              c.client,
 		Committer:           c.committer,
--- a/cmd/heronwick/duties.go
+++ b/cmd/heronwick/duties.go
@@ -30,7 +30,7 @@
 		Ledger:      d.ledger,
 		Ready:       func() bool { return c.members.Supports(cluster.LevelDuties) },
 		Membership:  c.dutyMembership,
-		MaxChanges:  c.settings.TxnOps,
+		MaxChanges:  c.settings.MaxTxnOps,
 		History:     d.history,
 		Log:         c.log,
 	})
--- a/cmd/heronwick/ratelimits.go
+++ b/cmd/heronwick/ratelimits.go
@@ -97,7 +97,7 @@
 	if slices.ContainsFunc(peers, func(p *peerpb.Status) bool { return p.Late }) {
 		rates.Submission = writes * submissionFraction
 	}
-	c.budget.SetRates(rates, c.settings.TxnOps)
+	c.budget.SetRates(rates, c.settings.MaxTxnOps)
 }
 
 // addUnusedRates adds this controller's part of what the peers leave, which is
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -97,7 +97,7 @@
 	s.StateRequestRate = c.number(key+"rps", f.RPS, minStateRPS)
 	s.StateWriteRate = c.number(key+"write_rps", f.WriteRPS, minStateRPS)
 	valueKB := c.number(key+"value_kb", f.ValueKB, minValueKB)
-	s.TxnOps = int(c.integer(key+"txn_ops", f.TxnOps, minTxnOps))
+	s.MaxTxnOps = int(c.integer(key+"txn_ops", f.TxnOps, minTxnOps))
 
 	next := &f.Next
 	if next.RPS != nil {
@@ -110,7 +110,7 @@
 		valueKB = min(valueKB, c.number(nextKey+"value_kb", next.ValueKB, minValueKB))
 	}
 	if next.TxnOps != nil {
-		s.TxnOps = min(s.TxnOps, int(c.integer(nextKey+"txn_ops", next.TxnOps, minTxnOps)))
+		s.MaxTxnOps = min(s.MaxTxnOps, int(c.integer(nextKey+"txn_ops", next.TxnOps, minTxnOps)))
 	}
 	s.MaxValueBytes = int(valueKB * 1024)
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -26,7 +26,7 @@
 	StateRequestRate float64 // requests a second
 	StateWriteRate   float64 // writes a second
 	MaxValueBytes    int     // size of a value
-	TxnOps           int     // operations in a transaction
+	MaxTxnOps        int     // operations in a transaction
 
 	CloudRPS float64       // requests a second that the cloud accepts
 	ListLag  time.Duration // by how much the cloud's list of machines usually lags
