--- a/cmd/heronwick/runcommand.go
+++ b/cmd/heronwick/runcommand.go
@@ -114,7 +114,7 @@
 	workers := fleet.NewClient(settings.MaxConnections, func() int { return c.server.Connections() })
 	external := externalServices{
 		state:   state.NewHTTPTransport(settings.StateAddr),
-		cloud:   cloud.NewClient(settings.CloudAddr, settings.CloudRPS),
+		cloud:   cloud.NewClient(settings.CloudAddr, settings.CloudRequestRate),
 		workers: workers,
 		peers:   map[string]peer{},
 	}
