--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -79,7 +79,7 @@
 
 func (s *Settings) setCloudLimits(c *checker, f *fileCloud) {
 	s.CloudRequestRate = c.number("cluster.cloud.rps", f.RPS, minCloudRPS)
-	s.ListLag = c.seconds("cluster.cloud.list_lag_s", f.ListLagS, 0)
+	s.CloudListLag = c.seconds("cluster.cloud.list_lag_s", f.ListLagS, 0)
 }
 
 func (s *Settings) setMachineLimits(c *checker, f *fileLimits) {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -29,7 +29,7 @@
 	MaxTxnOps        int     // operations in a transaction
 
 	CloudRequestRate float64       // requests a second that the cloud accepts
-	ListLag          time.Duration // by how much the cloud's list of machines usually lags
+	CloudListLag     time.Duration // by how much the cloud's list of machines usually lags
 
 	Cores          int     // whole cores that the process may use at once
 	CoreShare      float64 // of a core's time that the process has
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -75,7 +75,7 @@
 		s.inventory.Expect(lm.ID, placement.Place{Type: lm.Type, Zone: lm.Zone, Spot: lm.Spot}, now.Add(-age), now)
 	}
 	// A list lags, and by up to double its usual lag.
-	overdue := s.planner.Overdue(s.opts.Settings.ListLag, 2*s.opts.Settings.ListLag+s.detector.DeadAfter(), now)
+	overdue := s.planner.Overdue(s.opts.Settings.CloudListLag, 2*s.opts.Settings.CloudListLag+s.detector.DeadAfter(), now)
 	s.reclaimLocked(failed, "failed")
 	s.reclaimLocked(overdue, "never came up")
 	s.reclaimLocked(s.abandonedReturnsLocked(), autoscale.ReasonRecordedBefore)
