--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -167,10 +167,10 @@
 func (s *Settings) setObjectives(objectives []fileObjective) {
 	for _, objective := range objectives {
 		s.Objectives = append(s.Objectives, Objective{
-			Kind:   objective.Kind,
-			Class:  objective.Class,
-			Within: seconds(objective.WithinS),
-			Share:  objective.Share,
+			Kind:     objective.Kind,
+			Class:    objective.Class,
+			Within:   seconds(objective.WithinS),
+			Fraction: objective.Share,
 		})
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -61,10 +61,10 @@
 // Objective is what the users expect: that a fraction of what is measured takes
 // no longer than a duration.
 type Objective struct {
-	Kind   string // what is measured, for example "finished" or "wait"
-	Class  string // of the jobs that it is measured on; empty: all
-	Within time.Duration
-	Share  float64 // 0 to 1
+	Kind     string // what is measured, for example "finished" or "wait"
+	Class    string // of the jobs that it is measured on; empty: all
+	Within   time.Duration
+	Fraction float64 // 0 to 1
 }
 
 // unimpededCoreShare is the share of a core from which on a controller answers
