--- a/cmd/heronwick/membership.go
+++ b/cmd/heronwick/membership.go
@@ -27,7 +27,7 @@
 		MaxValue:      c.settings.MaxValueBytes,
 		Route:         c.transport,
 		Peers:         peers,
-		LeaseFor:      c.settings.LeaseDuration,
+		LeaseDuration: c.settings.LeaseDuration,
 		CancelIn:      c.settings.CancelTimeout,
 		Cancellations: c.jobs,
 		Slowness:      c.settings.Slowness(),
--- a/internal/cluster/options.go
+++ b/internal/cluster/options.go
@@ -22,10 +22,10 @@
 	Teams []string
 	// MaxValue is how many bytes a value of the store may have; 0: unknown.
 	MaxValue int
-	// LeaseFor is the workers' lease. The confirmation TTL, for which heartbeats
+	// LeaseDuration is the workers' lease. The confirmation TTL, for which heartbeats
 	// are answered without a new confirmation of the epoch, is at most a quarter
 	// of it.
-	LeaseFor time.Duration
+	LeaseDuration time.Duration
 	// CancelIn is the time from the cancellation of a job until its tasks must be
 	// gone.
 	CancelIn time.Duration
