--- a/cmd/heronwick/membership.go
+++ b/cmd/heronwick/membership.go
@@ -28,7 +28,7 @@
 		Route:         c.transport,
 		Peers:         peers,
 		LeaseDuration: c.settings.LeaseDuration,
-		CancelIn:      c.settings.CancelTimeout,
+		CancelTimeout: c.settings.CancelTimeout,
 		Cancellations: c.jobs,
 		Slowness:      c.settings.Slowness(),
 		RunMembership: c.runScheduler,
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -63,7 +63,7 @@
 
 // New makes a Cluster; Run starts it.
 func New(opts Options) *Cluster {
-	ttl, fits := confirmationTTLFor(opts.LeaseDuration, opts.CancelIn)
+	ttl, fits := confirmationTTLFor(opts.LeaseDuration, opts.CancelTimeout)
 	c := &Cluster{
 		opts:             opts,
 		incarnation:      rand.Uint64(),
@@ -89,7 +89,7 @@
 func (c *Cluster) warnOfSettings() {
 	if !c.expiryFitsCancel {
 		c.opts.Log.Warn("cancel_s leaves too little time for a lease to expire: cancellations are confirmed only once every controller knows them",
-			"lease", c.opts.LeaseDuration, "cancel_in", c.opts.CancelIn, "needed", c.opts.LeaseDuration+leaseExpirySlack(c.opts.LeaseDuration)+minConfirmationTTL)
+			"lease", c.opts.LeaseDuration, "cancel_in", c.opts.CancelTimeout, "needed", c.opts.LeaseDuration+leaseExpirySlack(c.opts.LeaseDuration)+minConfirmationTTL)
 	}
 	nodes := []string{c.opts.Node}
 	for node := range c.opts.Peers {
--- a/internal/cluster/options.go
+++ b/internal/cluster/options.go
@@ -26,9 +26,9 @@
 	// are answered without a new confirmation of the epoch, is at most a quarter
 	// of it.
 	LeaseDuration time.Duration
-	// CancelIn is the time from the cancellation of a job until its tasks must be
+	// CancelTimeout is the time from the cancellation of a job until its tasks must be
 	// gone.
-	CancelIn time.Duration
+	CancelTimeout time.Duration
 	// Slowness is how many times longer than usual the controllers may be busy.
 	Slowness float64
 
