--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -27,8 +27,8 @@
 	Boot time.Duration
 	// Fetch is how long a task takes to fetch its image before it runs.
 	Fetch time.Duration
-	// ReportEvery is the interval between two heartbeats of a worker without a change.
-	ReportEvery time.Duration
+	// HeartbeatInterval is the interval between two heartbeats of a worker without a change.
+	HeartbeatInterval time.Duration
 	// Lease is how long a worker's lease lasts without a renewal.
 	Lease time.Duration
 	// RunFor returns how long a task runs; 0: until it is stopped.
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -135,7 +135,7 @@
 			w.exchange(heartbeat, sent)
 		}
 		wait.Sleep(f.ctx, minReportInterval)
-		w.awaitChange(f.ReportEvery - minReportInterval)
+		w.awaitChange(f.HeartbeatInterval - minReportInterval)
 	}
 }
 
