--- a/internal/standin/checker.go
+++ b/internal/standin/checker.go
@@ -15,9 +15,9 @@
 type Checker struct {
 	// Limits are the teams' quotas in CPUs; a team that is not listed has none.
 	Limits map[string]float64
-	// CancelIn is how long after its user was told so a cancelled job's tasks must be gone;
+	// CancelTimeout is how long after its user was told so a cancelled job's tasks must be gone;
 	// 0: not checked.
-	CancelIn time.Duration
+	CancelTimeout time.Duration
 	// NoStartAfter is how long after its user was told so no controller may command a start
 	// of a cancelled job any more; 0: not checked.
 	NoStartAfter time.Duration
