--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -26,7 +26,7 @@
 	startedAt        time.Time
 	timeouts         timeouts
 	confirmationTTL  time.Duration
-	expiryFitsCancel bool          // a lease expiry after the confirmation TTL fits within CancelIn
+	expiryFitsCancel bool          // a lease expiry after the confirmation TTL fits within CancelTimeout
 	changed          chan struct{} // poked when the epoch or the leader key changes
 
 	mu sync.Mutex
--- a/internal/cluster/confirmation.go
+++ b/internal/cluster/confirmation.go
@@ -16,9 +16,9 @@
 // one confirmation that its epoch is current: a quarter of a worker lease, and no
 // longer than leaves time for a lease expiry before a cancelled job's tasks must
 // be gone. fits is false if the settings leave no such time.
-func confirmationTTLFor(lease, cancelIn time.Duration) (ttl time.Duration, fits bool) {
+func confirmationTTLFor(lease, cancelTimeout time.Duration) (ttl time.Duration, fits bool) {
 	ttl = lease / 4
-	room := cancelIn - lease - leaseExpirySlack(lease)
+	room := cancelTimeout - lease - leaseExpirySlack(lease)
 	if room < min(ttl, minConfirmationTTL) {
 		return min(ttl, minConfirmationTTL), false
 	}
--- a/internal/standin/checker.go
+++ b/internal/standin/checker.go
@@ -15,8 +15,8 @@
 type Checker struct {
 	// Limits are the teams' quotas in CPUs; a team that is not listed has none.
 	Limits map[string]float64
-	// CancelTimeout is how long after its user was told so a cancelled job's tasks must be gone;
-	// 0: not checked.
+	// CancelTimeout is how long after its user was told so a cancelled job's tasks must be
+	// gone; 0: not checked.
 	CancelTimeout time.Duration
 	// NoStartAfter is how long after its user was told so no controller may command a start
 	// of a cancelled job any more; 0: not checked.
