--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -19,7 +19,7 @@
 			usable++
 		}
 	}
-	_, total, free := s.capacityLocked(now)
+	available := s.capacityLocked(now)
 	for _, queued := range s.jobs {
 		if queued.Ready {
 			waiting += queued.Pending()
@@ -28,30 +28,37 @@
 		}
 	}
 	s.log.Info("load", "jobs", len(s.jobs), "remote", s.remoteAttempts.Len(), "waiting", waiting, "not_ready", notReady, "tasks", tasks, "machines", len(s.machines), "usable", usable,
-		"open", open, "booting", len(s.inventory.Booting()), "cpus", total.CPUs, "free_cpus", free.CPUs, "free_memory_gb", free.MemoryGB,
+		"open", open, "booting", len(s.inventory.Booting()), "cpus", available.total.CPUs, "free_cpus", available.free.CPUs, "free_memory_gb", available.free.MemoryGB,
 		"latency", s.detector.Latency(), "passes", s.passes.count, "pass_time", s.passes.total, "longest_pass", s.passes.longest)
 	s.passes = passTimes{}
 }
 
-// capacityLocked sums what the scheduler has.
-func (s *Scheduler) capacityLocked(now time.Time) (idle int, total, free placement.Resources) {
+// capacity is what the usable machines have together.
+type capacity struct {
+	idleMachines int
+	total, free  placement.Resources
+}
+
+// capacityLocked sums what the usable machines have.
+func (s *Scheduler) capacityLocked(now time.Time) capacity {
+	var sum capacity
 	for _, m := range s.machines {
 		if !s.usableLocked(m, now) {
 			continue
 		}
-		total, free = total.Plus(placement.Capacity(m.Type)), free.Plus(m.Free())
+		sum.total, sum.free = sum.total.Plus(placement.Capacity(m.Type)), sum.free.Plus(m.Free())
 		if m.ActiveCount() == 0 {
-			idle++
+			sum.idleMachines++
 		}
 	}
-	return idle, total, free
+	return sum
 }
 
 // summary is what the peers are told of the scheduler.
 type summary struct {
 	machines, idle int
 	cpus, freeCPUs float64
-	partitioned    bool
+	cut            bool
 	overloaded     bool
 	wants          []*peerpb.Want
 }
@@ -61,9 +68,9 @@
 const summarizeEvery = 500 * time.Millisecond
 
 func (s *Scheduler) summarizeLocked(now time.Time) {
-	idle, total, free := s.capacityLocked(now)
-	s.summary.Store(&summary{machines: len(s.machines), idle: idle, cpus: total.CPUs, freeCPUs: free.CPUs,
-		partitioned: s.detector.Partitioned(), overloaded: s.overloadedLocked(now), wants: s.wantsLocked(now)})
+	available := s.capacityLocked(now)
+	s.summary.Store(&summary{machines: len(s.machines), idle: available.idleMachines, cpus: available.total.CPUs, freeCPUs: available.free.CPUs,
+		cut: s.detector.Partitioned(), overloaded: s.overloadedLocked(now), wants: s.wantsLocked(now)})
 }
 
 // Status fills in what the peers are told of the scheduler, as last summarized. It
@@ -75,6 +82,6 @@
 		return
 	}
 	status.Machines, status.Idle = uint32(sum.machines), uint32(sum.idle)
-	status.Cpus, status.FreeCpus, status.Cut = sum.cpus, sum.freeCPUs, sum.partitioned
+	status.Cpus, status.FreeCpus, status.Cut = sum.cpus, sum.freeCPUs, sum.cut
 	status.Overloaded, status.Wants = sum.overloaded, sum.wants
 }
