--- a/cmd/heronwick/ratelimits.go
+++ b/cmd/heronwick/ratelimits.go
@@ -40,8 +40,13 @@
 	submissionFraction = 0.15
 )
 
-// baseRates returns this controller's part of the rate limits, a second.
-func (c *controller) baseRates() (requests, writes float64) {
+// baseRates is this controller's part of the rate limits of the key-value store.
+type baseRates struct {
+	requests, writes float64 // a second
+}
+
+// baseRates returns this controller's part of the rate limits.
+func (c *controller) baseRates() baseRates {
 	view := c.members.View()
 	fraction := nonMemberFraction
 	switch {
@@ -54,7 +59,7 @@
 	case view.Member:
 		fraction = memberFraction
 	}
-	return c.settings.StateRequestRate * fraction, c.settings.StateWriteRate * fraction
+	return baseRates{requests: c.settings.StateRequestRate * fraction, writes: c.settings.StateWriteRate * fraction}
 }
 
 // unusedRates is what this controller leaves of its part of the rate limits, a
@@ -68,12 +73,12 @@
 // they leave to it: the work is where the machines and the teams are, which is not
 // as the limits are divided.
 func (c *controller) balanceRates() {
-	requests, writes := c.baseRates()
+	base := c.baseRates()
 	window := c.budget.Window()
 	perSecond := headroom / balanceInterval.Seconds()
 	c.unusedRates.Store(&unusedRates{
-		requests: max(0, requests-perSecond*float64(window.Requests)-1),
-		writes:   max(0, writes-perSecond*float64(window.Writes)-1),
+		requests: max(0, base.requests-perSecond*float64(window.Requests)-1),
+		writes:   max(0, base.writes-perSecond*float64(window.Writes)-1),
 		short:    window.Longest > shortAfter,
 		late:     c.committer.LongestWait(state.Safety) > lateAfter,
 	})
@@ -84,18 +89,18 @@
 // short also what the peers leave. While a peer is late this controller accepts few
 // jobs, and so leaves more.
 func (c *controller) setRates() {
-	requests, writes := c.baseRates()
-	rates := state.Rates{Requests: requests, Writes: writes, Background: writes}
+	base := c.baseRates()
+	rates := state.Rates{Requests: base.requests, Writes: base.writes, Background: base.writes}
 	peers := c.members.Peers()
 	if unused := c.unusedRates.Load(); unused != nil && unused.short {
 		addUnusedRates(&rates, peers)
 	}
 	rates.Submission = rates.Writes
 	if slices.ContainsFunc(peers, func(p *peerpb.Status) bool { return p.Short }) {
-		rates.Background = writes * backgroundFraction
+		rates.Background = base.writes * backgroundFraction
 	}
 	if slices.ContainsFunc(peers, func(p *peerpb.Status) bool { return p.Late }) {
-		rates.Submission = writes * submissionFraction
+		rates.Submission = base.writes * submissionFraction
 	}
 	c.budget.SetRates(rates, c.settings.MaxTxnOps)
 }
