--- a/internal/checkpoint/scheduler.go
+++ b/internal/checkpoint/scheduler.go
@@ -24,13 +24,15 @@
 	// Returning tells whether a machine is being returned: no bucket is written for it.
 	Returning(m *Machine) bool
 
-	// Fence ties writes to the epoch that the scheduler goes by.
+	// Fence is the condition under which records are written: the epoch that the
+	// scheduler acts under.
 	Fence() state.FencingCondition
 	// MemberSince is since which epoch the scheduler's node is a member.
 	MemberSince() uint64
-	// WriteMark returns what no other write bears.
+	// WriteMark returns a string that no other write contains.
 	WriteMark() string
-	// CleanupGuard returns the right to remove the scheduler's records.
+	// CleanupGuard returns the right to remove the scheduler's records, an error if
+	// another controller has it or nobody.
 	CleanupGuard() (duty.Guard, error)
 
 	// Job returns the record of a job that is known to be active, else nil.
--- a/internal/completion/flush.go
+++ b/internal/completion/flush.go
@@ -27,8 +27,9 @@
 	ValueLimit() int
 	// WriteMark returns a string that no other write contains.
 	WriteMark() string
-	// Fence makes a write depend on the epoch that the scheduler acts under.
-	Fence(write state.Write) state.Write
+	// Fence is the condition under which records are written: the epoch that the
+	// scheduler acts under.
+	Fence() state.FencingCondition
 	// CleanupGuard returns the right to remove the scheduler's records, an error if
 	// another controller has it or nobody.
 	CleanupGuard() (duty.Guard, error)
@@ -142,7 +143,7 @@
 		request.Then = []wire.Change{{Put: b.key, Value: t.encode(b)}}
 	}
 	b.committing = true
-	write.request = t.scheduler.Fence(request)
+	write.request = t.scheduler.Fence().Bind(request)
 	t.scheduler.Go(func(ctx context.Context) { t.commit(ctx, write) })
 }
 
--- a/internal/scheduler/checkpoints.go
+++ b/internal/scheduler/checkpoints.go
@@ -1,14 +1,11 @@
 package scheduler
 
 import (
-	"fmt"
 	"iter"
 	"time"
 
 	"heronwick/internal/checkpoint"
-	"heronwick/internal/duty"
 	"heronwick/internal/job"
-	"heronwick/internal/state"
 )
 
 // newCheckpointWriter returns the Writer that records what may be on the scheduler's
@@ -16,7 +13,7 @@
 func (s *Scheduler) newCheckpointWriter() *checkpoint.Writer {
 	return checkpoint.NewWriter(checkpoint.Options{
 		Node: s.opts.Node, Settings: s.opts.Settings, Limit: s.valueLimit,
-		Scheduler: checkpointScheduler{s}, Lock: &s.mu,
+		Scheduler: checkpointScheduler{recordWriter{s}}, Lock: &s.mu,
 		Committer: s.opts.Committer, Reader: s.opts.Records,
 		Go: s.spawn, Wake: s.wakeLoop, Log: s.log,
 	})
@@ -46,14 +43,8 @@
 	}
 }
 
-// writeMarkLocked returns what no other write bears.
-func (s *Scheduler) writeMarkLocked() string {
-	s.lastSerial++ // any number that never comes again under this token
-	return fmt.Sprintf("%s-%d-%d", s.opts.Node, s.epoch.Token, s.lastSerial)
-}
-
 // checkpointScheduler is what the Writer of machines' records sees of the scheduler.
-type checkpointScheduler struct{ *Scheduler }
+type checkpointScheduler struct{ recordWriter }
 
 // owned returns the scheduler's machine that m is part of, nil if it is not the
 // scheduler's any more.
@@ -87,18 +78,9 @@
 	return owned != nil && owned.returning
 }
 
-// Fence implements checkpoint.Scheduler.
-func (s checkpointScheduler) Fence() state.FencingCondition { return s.fenceLocked() }
-
 // MemberSince implements checkpoint.Scheduler.
 func (s checkpointScheduler) MemberSince() uint64 { return s.epoch.Members[s.opts.Node].Since }
 
-// WriteMark implements checkpoint.Scheduler.
-func (s checkpointScheduler) WriteMark() string { return s.writeMarkLocked() }
-
-// CleanupGuard implements checkpoint.Scheduler.
-func (s checkpointScheduler) CleanupGuard() (duty.Guard, error) { return s.recordCleanupGuard() }
-
 // Job implements checkpoint.Scheduler.
 func (s checkpointScheduler) Job(id string) *job.Record {
 	if queued := s.jobOf(id); queued != nil {
--- a/internal/scheduler/completions.go
+++ b/internal/scheduler/completions.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"heronwick/internal/completion"
-	"heronwick/internal/duty"
 	"heronwick/internal/job"
 	"heronwick/internal/queue"
 	"heronwick/internal/state"
@@ -15,7 +14,7 @@
 )
 
 // completionScheduler is what the table of done tasks sees of the scheduler.
-type completionScheduler struct{ *Scheduler }
+type completionScheduler struct{ recordWriter }
 
 // Lock implements completion.Scheduler.
 func (s completionScheduler) Lock() { s.mu.Lock() }
@@ -34,15 +33,6 @@
 // ValueLimit implements completion.Scheduler.
 func (s completionScheduler) ValueLimit() int { return s.valueLimit.Bytes() }
 
-// WriteMark implements completion.Scheduler.
-func (s completionScheduler) WriteMark() string { return s.writeMarkLocked() }
-
-// Fence implements completion.Scheduler.
-func (s completionScheduler) Fence(write state.Write) state.Write { return s.fenceLocked().Bind(write) }
-
-// CleanupGuard implements completion.Scheduler.
-func (s completionScheduler) CleanupGuard() (duty.Guard, error) { return s.recordCleanupGuard() }
-
 // Commit implements completion.Scheduler.
 func (s completionScheduler) Commit(ctx context.Context, key string, write state.Write) (completion.CommitResult, error) {
 	version, err := s.opts.Committer.Commit(ctx, write)
--- a/internal/scheduler/returns.go
+++ b/internal/scheduler/returns.go
@@ -121,16 +121,6 @@
 	return names
 }
 
-// recordCleanupDuty is the duty of removing this scheduler's records.
-func (s *Scheduler) recordCleanupDuty() duty.ID {
-	return duty.ID{Name: duty.Cleanup, Scope: duty.Shard(s.opts.Node)}
-}
-
-// recordCleanupGuard returns the right to remove this scheduler's records.
-func (s *Scheduler) recordCleanupGuard() (duty.Guard, error) {
-	return s.opts.Actions.Guard(s.recordCleanupDuty())
-}
-
 // closeReturnsLocked removes the return intents whose machines are released,
 // once no other controller takes those for machines that are there.
 func (s *Scheduler) closeReturnsLocked() {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -97,7 +97,7 @@
 	s.checkpoints = s.newCheckpointWriter()
 	s.detector = detector.New(detector.Settings{HeartbeatInterval: opts.Settings.HeartbeatInterval, LeaseDuration: opts.Settings.LeaseDuration,
 		CommandTimeout: commandTimeout, Latency: opts.Latency})
-	s.completions = completion.NewTable(completionScheduler{s}, opts.Settings, s.log)
+	s.completions = completion.NewTable(completionScheduler{recordWriter{s}}, opts.Settings, s.log)
 	s.tokenSync.rate, s.probeRate = tokenRequestRate(opts.Settings.CoreShare), probeRate(opts.Settings.CoreShare)
 	for i := range opts.Types {
 		s.types[opts.Types[i].Name] = &opts.Types[i]
