--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -26,8 +26,8 @@
 		return
 	}
 	a.Hosted = false
-	if remote := s.remoteAttempts.Get(a.Key); remote != nil {
-		s.forgetRemoteLocked(remote) // it was another's, and its machine is now ours
+	if earlier := s.remoteAttempts.Get(a.Key); earlier != nil {
+		s.forgetRemoteLocked(earlier) // its machine was another scheduler's
 	}
 	a.Describe(&queued.Record.Job, queued.EffectivePriority)
 	if a.Exited() {
@@ -112,7 +112,7 @@
 func (s *Scheduler) attemptEndedLocked(a *fleet.Attempt, now time.Time) {
 	queued := s.jobs[a.Job]
 	if queued == nil {
-		// Its owner, which asks, decides what follows; without one, nothing.
+		// Its owner, which settles it, decides what follows; without one, nothing.
 		a.Handled = !a.Hosted
 		s.uncountAttemptLocked(a)
 		return
@@ -157,11 +157,11 @@
 }
 
 // suspectFailures is how many jobs that do not fail elsewhere must have failed on
-// a machine for it to be set aside.
+// a machine for it to be quarantined.
 const suspectFailures = 2
 
 // taskFailedLocked judges a failure: is it the machine or the job? A machine on
-// which several jobs fail that do not fail elsewhere is set aside; a job that
+// which several jobs fail that do not fail elsewhere is quarantined; a job that
 // fails on several machines and succeeds on none is tried again ever later.
 func (s *Scheduler) taskFailedLocked(m *machine, queued *queue.Job, a *fleet.Attempt, now time.Time) {
 	s.log.Info("task failed", "task", a.Task, "attempt", a.Attempt, "machine", m.Name)
@@ -192,6 +192,7 @@
 	return left >= fleet.MinAttemptNumbers
 }
 
+// newAttempt returns an attempt of a job's task, with a number that is not used yet.
 func (s *Scheduler) newAttempt(queued *queue.Job, index int) *fleet.Attempt {
 	j := &queued.Record.Job
 	a := &fleet.Attempt{Key: fleet.Key{Task: wire.TaskID(j.ID, index), Attempt: s.attemptNumbers.Next(s.epoch.Token)}, Job: j.ID, Index: index}
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// cloudEvery is how often it is looked whether to rent or return machines.
+	// cloudEvery is how often it is decided whether to rent or return machines.
 	cloudEvery = 500 * time.Millisecond
 	// listEvery is how often the cloud's list is read.
 	listEvery = 5 * time.Second
 )
 
-// runCloud reads the cloud's list, rents and returns. One controller does, so that
-// the cloud's limit holds.
+// runCloud reads the cloud's list of machines, rents and returns. Only the leader
+// does, so that the cloud's limit on requests holds.
 func (s *Scheduler) runCloud(ctx context.Context) error {
 	renter := s.renter()
 	var listed time.Time
@@ -40,7 +40,7 @@
 	})
 }
 
-// readMachineList reads the cloud's list.
+// readMachineList reads the cloud's list and takes it.
 func (s *Scheduler) readMachineList(ctx context.Context) {
 	machines, err := s.opts.Cloud.List(ctx)
 	if err != nil {
@@ -56,28 +56,28 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var failed []string
-	for _, lm := range machines {
-		if s.isReleasedLocked(lm.ID) || s.opts.Actions.HasReturnIntent(lm.ID) {
+	for _, listed := range machines {
+		if s.isReleasedLocked(listed.ID) || s.opts.Actions.HasReturnIntent(listed.ID) {
 			continue
 		}
-		if node, owned := s.opts.Authority.HeartbeatTarget(lm.ID); owned && node != s.opts.Node {
-			s.inventory.Joined(lm.ID)
+		if node, owned := s.opts.Authority.HeartbeatTarget(listed.ID); owned && node != s.opts.Node {
+			s.inventory.Joined(listed.ID)
 			continue // its owner looks after it
 		}
-		age := time.Duration(lm.AgeS * float64(time.Second))
-		if lm.State == wire.MachineFailed {
-			failed = append(failed, lm.ID)
+		age := time.Duration(listed.AgeS * float64(time.Second))
+		if listed.State == wire.MachineFailed {
+			failed = append(failed, listed.ID)
 			continue
 		}
-		if s.machines[lm.ID] != nil {
+		if s.machines[listed.ID] != nil {
 			continue
 		}
-		s.inventory.Expect(lm.ID, placement.Place{Type: lm.Type, Zone: lm.Zone, Spot: lm.Spot}, now.Add(-age), now)
+		s.inventory.Expect(listed.ID, placement.Place{Type: listed.Type, Zone: listed.Zone, Spot: listed.Spot}, now.Add(-age), now)
 	}
 	// A list lags, and by up to double its usual lag.
 	overdue := s.planner.Overdue(s.opts.Settings.CloudListLag, 2*s.opts.Settings.CloudListLag+s.detector.DeadAfter(), now)
-	s.reclaimLocked(failed, "failed")
-	s.reclaimLocked(overdue, "never came up")
+	s.reclaimLocked(failed, autoscale.ReasonFailed)
+	s.reclaimLocked(overdue, autoscale.ReasonNeverBooted)
 	s.reclaimLocked(s.abandonedReturnsLocked(), autoscale.ReasonRecordedBefore)
 }
 
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -13,8 +13,8 @@
 // it again.
 const commandTimeout = 2 * time.Second
 
-// command sends commands straight to a worker, for as long
-// as commandTimeout allows.
+// command sends commands straight to a worker, which must answer within
+// commandTimeout.
 func (s *Scheduler) command(ctx context.Context, address string, req *wire.CommandRequest) (*wire.Heartbeat, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
@@ -32,8 +32,9 @@
 	return false
 }
 
-// sendCommandsLocked sends a worker what it should be told, without waiting for its
-// next heartbeat.
+// sendCommandsLocked sends a worker the commands that are due, without waiting for
+// its next heartbeat. One request is under way at a time; what comes meanwhile
+// follows it.
 func (s *Scheduler) sendCommandsLocked(m *machine) {
 	if m.commandPending {
 		m.commandAgain = true
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -31,10 +31,13 @@
 	return a.Leader == b.Leader && a.Incarnation == b.Incarnation && maps.Equal(a.Members, b.Members) && maps.Equal(a.Teams, b.Teams)
 }
 
+// ownsJobLocked tells whether a job is the scheduler's own by its epoch.
 func (s *Scheduler) ownsJobLocked(j *wire.Job) bool {
 	return s.epoch.OwnerOf(j.Team, j.ID) == s.opts.Node
 }
 
+// leadsLocked tells whether this controller leads, as far as the scheduler has
+// followed the epoch.
 func (s *Scheduler) leadsLocked() bool { return s.loaded && s.epoch.Leader == s.opts.Node }
 
 // followEpochLocked follows the epoch and the owners of machines: what is the
@@ -100,7 +103,7 @@
 		switch {
 		case epoch.OwnerOf(r.Job.Team, r.Job.ID) != s.opts.Node || s.jobs[r.Job.ID] != nil:
 		case epoch.Token == s.epoch.Token && s.acceptedInEpochLocked(r):
-			s.addJobLocked(r) // that it was added is about to be told
+			s.addJobLocked(r) // JobAdded is about to be called for it
 		default:
 			gained = append(gained, r)
 		}
@@ -121,6 +124,7 @@
 	return epoch.Leader == s.opts.Node && s.epoch.Leader != s.opts.Node
 }
 
+// takeEpochLocked makes an epoch the one that the scheduler acts under.
 func (s *Scheduler) takeEpochLocked(epoch cluster.Epoch, condition wire.Condition) {
 	if s.beginsToLeadLocked(&epoch) {
 		s.leaderSince = time.Now()
@@ -143,7 +147,7 @@
 		lost[id] = true
 		delete(s.jobs, id)
 		for a := range queued.Done.Unwritten() {
-			a.Hosted = true // its new owner asks for it
+			a.Hosted = true // its new owner settles it
 		}
 	}
 	if len(lost) == 0 {
@@ -164,7 +168,8 @@
 	}
 }
 
-// fenceLocked ties writes to the epoch that the scheduler goes by.
+// fenceLocked is the condition on all writes: the epoch that the scheduler acts
+// under.
 func (s *Scheduler) fenceLocked() state.FencingCondition {
 	fence := s.epoch.condition
 	return state.FencingCondition{Condition: fence, Current: func() bool {
@@ -172,13 +177,13 @@
 	}}
 }
 
-// currentLocked tells whether the epoch that the scheduler goes by is current.
+// currentLocked tells whether the epoch that the scheduler acts under is current.
 func (s *Scheduler) currentLocked() bool { return s.fenceLocked().Current() }
 
 // raiseEvery is how often the fencing token may be raised.
 const raiseEvery = 2 * time.Second
 
-// raiseTokenLocked raises the fencing token, now and then.
+// raiseTokenLocked raises the fencing token, at most every raiseEvery.
 func (s *Scheduler) raiseTokenLocked(now time.Time) {
 	if s.raisingToken || now.Sub(s.raiseAttemptedAt) <= raiseEvery {
 		return
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -32,8 +32,8 @@
 	m.syncToken, m.fenceToken, m.LastReply, m.HeartbeatSeen = 0, 0, now, true
 }
 
-// transfer makes node the owner of the machines of records, or, with no node,
-// tells that they are released.
+// writeTransfer makes node the owner of the machines of records, or, with no node,
+// marks them as released.
 func (s *Scheduler) writeTransfer(ctx context.Context, node string, records ownership.Records, priority state.Priority) error {
 	s.mu.Lock()
 	fence := s.fenceLocked()
@@ -55,7 +55,7 @@
 // written the next one is.
 const announceRetryAfter = 500 * time.Millisecond
 
-// announceReleasesLocked tells the other controllers which machines are
+// announceReleasesLocked writes for the other controllers which machines are
 // released, many in one write.
 func (s *Scheduler) announceReleasesLocked() {
 	if !s.loaded {
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -34,7 +34,7 @@
 		}
 		s.answeredUnadopted[heartbeat.Machine] = now
 		reply.Commands = s.stopEndedJobsLocked(heartbeat)
-		return reply // keeps its lease while its machine is being taken
+		return reply // it keeps its lease while its machine is being adopted
 	}
 	fresh := s.applyLocked(m, heartbeat)
 	if s.unknownTasksTooLongLocked(heartbeat, now) {
@@ -45,7 +45,7 @@
 	if !fresh {
 		// Late or repeated: its reply will be dropped, and must not carry
 		// commands meant for the worker as it is now. Or the worker has
-		// started anew and counts from the beginning: asking it tells.
+		// started anew and counts from the beginning: a probe shows which.
 		if !m.ProbedLately(now) {
 			s.probeLocked(m, now)
 		}
@@ -74,7 +74,8 @@
 		return nil, true
 	}
 	// A machine that the records do not name never had anything placed on it.
-	s.log.Info("machine joins", "machine", name, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot, "incarnation", heartbeat.Incarnation)
+	s.log.Info("machine joins", "machine", name, "type", heartbeat.Type, "zone", heartbeat.Zone,
+		"spot", heartbeat.Spot, "incarnation", heartbeat.Incarnation)
 	return s.addMachineLocked(fleet.NewMachine(name), now), false
 }
 
@@ -157,7 +158,8 @@
 	return true
 }
 
-// handleEventsLocked draws the consequences of what a heartbeat or a proof told.
+// handleEventsLocked takes what a heartbeat, or a proof that a worker is gone, has
+// changed of the attempts on a machine.
 func (s *Scheduler) handleEventsLocked(m *machine, events []fleet.Event) {
 	for _, e := range events {
 		a := e.Attempt
--- a/internal/scheduler/hosting.go
+++ b/internal/scheduler/hosting.go
@@ -24,7 +24,7 @@
 	defer s.mu.Unlock()
 	reply := &peerpb.PlaceReply{}
 	if !s.opts.PlaceRequests.Accept(req) {
-		return reply // a late copy: what it asks for may have been taken, ended and taken elsewhere since
+		return reply // a late copy: what it names may have been taken, ended and taken elsewhere since
 	}
 	if !s.mayHostLocked(req) {
 		return reply
@@ -49,7 +49,7 @@
 		s.opts.Authority.Token() == s.epoch.Token
 }
 
-// jobRequest is what a placement request asks for one job.
+// jobRequest is the part of a placement request that is for one job.
 type jobRequest struct {
 	from       string // the job's owner
 	overloaded bool   // the owner is: no machine is handed over to it
@@ -62,7 +62,7 @@
 // pending is how many tasks of the job wait, also beyond the request.
 func (r *jobRequest) pending() int { return int(r.wanted.Pending) - r.placed }
 
-// placeWantedLocked places what a request asks for one job. What finds no room
+// placeWantedLocked places what a request wants for one job. What finds no room
 // is remembered, so that the job takes its turn in the queue.
 func (s *Scheduler) placeWantedLocked(from string, overloaded bool, wanted *peerpb.Wanted, reply *peerpb.PlaceReply, now time.Time) {
 	record := s.opts.Jobs.Active(wanted.Job)
@@ -101,8 +101,8 @@
 	return queued
 }
 
-// hostNextLocked places the next attempt that is asked for, or hands over
-// machines for it. It returns false if the others need not be looked at.
+// hostNextLocked places the next attempt that is requested, or hands over
+// machines for it. It returns false if the others need not be tried.
 func (s *Scheduler) hostNextLocked(r *jobRequest, at *peerpb.Attempt, index int, reply *peerpb.PlaceReply, now time.Time) bool {
 	if r.record.Job.Kind == wire.KindGang {
 		s.handOverForGangLocked(r, reply, now)
@@ -165,8 +165,8 @@
 
 // handOverForLocked hands over to a controller that starves the first machine
 // and as many more idle ones as the job's pending tasks need, but keeps as
-// many as it hands over: the next to ask may need them as much. It returns how
-// many it handed over.
+// many as it hands over: the next controller may need them as much. It returns
+// how many it handed over.
 func (s *Scheduler) handOverForLocked(queued *queue.Job, first *machine, node string, pending int, now time.Time) int {
 	tasksPerMachine := max(1, int(1/max(queued.DominantShare, 1e-3)))
 	needed := (pending + tasksPerMachine - 1) / tasksPerMachine
@@ -199,7 +199,7 @@
 	attempt *fleet.Attempt
 }
 
-// hostedAttemptsLocked finds the attempts that a request names. A peer asks about
+// hostedAttemptsLocked finds the attempts that a request names. A peer settles
 // hundreds at once, of thousands that are here: their numbers alone, which only
 // a gang's tasks share, tell most of the others apart.
 func (s *Scheduler) hostedAttemptsLocked(req *peerpb.SettleRequest) map[fleet.Key]hostedAttempt {
@@ -215,7 +215,7 @@
 	return here
 }
 
-// Settle tells what became of attempts that this scheduler may have taken, and
+// Settle answers what became of attempts that this scheduler may have taken, and
 // lets go of those whose end is recorded. What is not known here never will
 // be: a placement request that is still in flight must not bring it later.
 func (s *Scheduler) Settle(req *peerpb.SettleRequest) *peerpb.SettleReply {
@@ -247,8 +247,8 @@
 	return s.loaded && s.epoch.Token >= req.Token && s.epoch.Members[s.opts.Node].Since == req.Since && !adopting
 }
 
-// settledLocked tells what became of an attempt, and denies it for good if it
-// is not among those that are here.
+// settledLocked answers what became of an attempt, and denies it for good if it is
+// not here.
 func (s *Scheduler) settledLocked(at *peerpb.Attempt, here map[fleet.Key]hostedAttempt, now time.Time) *peerpb.Hosted {
 	key := remote.KeyOf(at)
 	found := here[key]
@@ -261,7 +261,8 @@
 }
 
 // dropStaleHostedLocked removes hosted attempts that were not recorded under the
-// shard assignment in which their owner asked: it finds that they are not here.
+// shard assignment in which their owner requested them: when it settles them, they
+// are not here.
 func (s *Scheduler) dropStaleHostedLocked(m *machine) {
 	for _, a := range m.Attempts.All() {
 		if a.Hosted && !a.Durable && a.Epoch < s.epoch.assignedToken {
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -10,8 +10,8 @@
 	"heronwick/wire"
 )
 
-// resolveRetry is how long a failed look-up of a job waits.
-const resolveRetry = 300 * time.Millisecond
+// resolveRetryAfter is how long after a failed look-up of a job the next one is.
+const resolveRetryAfter = 300 * time.Millisecond
 
 // resolveJobLocked looks up a job that is not among the active ones, since tasks
 // of it may be on machines: it is over, or only not heard of yet.
@@ -22,7 +22,7 @@
 	s.resolvingJobs[id] = true
 	s.spawn(func(ctx context.Context) {
 		for !s.resolveJob(ctx, id) {
-			if !wait.Sleep(ctx, resolveRetry) {
+			if !wait.Sleep(ctx, resolveRetryAfter) {
 				return
 			}
 		}
@@ -55,21 +55,21 @@
 }
 
 // JobAdded implements job.Listener.
-func (s *Scheduler) JobAdded(r *job.Record) {
+func (s *Scheduler) JobAdded(record *job.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	defer s.wakeLoop()
-	if s.ownsJobLocked(&r.Job) && s.jobs[r.Job.ID] == nil {
-		if !s.acceptedInEpochLocked(r) {
+	if s.ownsJobLocked(&record.Job) && s.jobs[record.Job.ID] == nil {
+		if !s.acceptedInEpochLocked(record) {
 			// Its owner before may have placed it, which the records tell.
 			s.epochChecked.Store(false)
 			return
 		}
-		s.addJobLocked(r)
+		s.addJobLocked(record)
 	}
 	for _, m := range s.machines {
 		for _, a := range m.Attempts.All() {
-			if a.Job == r.Job.ID && !a.Sized {
+			if a.Job == record.Job.ID && !a.Sized {
 				s.adoptAttemptLocked(m, a)
 				if a.Exited() && !a.Handled {
 					s.attemptExitedLocked(m, a)
@@ -79,19 +79,21 @@
 	}
 }
 
-func (s *Scheduler) addJobLocked(r *job.Record) *queue.Job {
-	j := &r.Job
-	queued := s.newJob(r)
+// addJobLocked queues one of the scheduler's own jobs.
+func (s *Scheduler) addJobLocked(record *job.Record) *queue.Job {
+	j := &record.Job
+	queued := s.newJob(record)
 	s.jobs[j.ID] = queued
-	s.log.Debug("job queued", "job", j.ID, "class", j.Class, "team", j.Team, "tasks", j.Tasks, "cpus", j.CPUs, "image", j.Image, "estimate_s", j.EstimateS,
+	s.log.Debug("job queued", "job", j.ID, "class", j.Class, "team", j.Team, "tasks", j.Tasks, "cpus", j.CPUs,
+		"image", j.Image, "estimate_s", j.EstimateS,
 		"needs", j.Dependencies, "ready", queued.Ready, "rank", queued.EffectivePriority)
 	return queued
 }
 
 // newJob returns the queue's state of a job, its own or a hosted one.
-func (s *Scheduler) newJob(r *job.Record) *queue.Job {
-	queued := queue.NewJob(r, s.opts.Settings.Objectives, s.types)
-	queued.SetReadiness(s.opts.Jobs.Readiness(r))
+func (s *Scheduler) newJob(record *job.Record) *queue.Job {
+	queued := queue.NewJob(record, s.opts.Settings.Objectives, s.types)
+	queued.SetReadiness(s.opts.Jobs.Readiness(record))
 	return queued
 }
 
@@ -118,7 +120,7 @@
 }
 
 // endTasksLocked stops every task of a job that is over, also those whose
-// start may still be under way.
+// start may still be under way. goneBy is when they must surely be gone.
 func (s *Scheduler) endTasksLocked(id string, outcome job.Outcome, goneBy time.Time) {
 	for _, m := range s.machines {
 		s.endTasksOnLocked(m, id, outcome, goneBy)
@@ -126,9 +128,10 @@
 	s.wakeLoop()
 }
 
+// endTasksOnLocked stops those of the tasks that are on one machine.
 func (s *Scheduler) endTasksOnLocked(m *machine, id string, outcome job.Outcome, goneBy time.Time) {
 	if outcome.State == wire.JobDone {
-		goneBy = time.Time{} // nobody was told that its tasks are gone
+		goneBy = time.Time{} // its user relies on no time by which its tasks are gone
 	}
 	touched := false
 	for _, a := range m.Attempts.All() {
--- a/internal/scheduler/loadshedding.go
+++ b/internal/scheduler/loadshedding.go
@@ -6,7 +6,7 @@
 // heartbeats alone may take more processor time than a small controller has,
 // while the others have nothing to do. So a scheduler that is short of it hands
 // idle machines over to other controllers, which place its tasks there when it
-// asks them for room.
+// sends them placement requests.
 
 const (
 	// shedEvery is how often a scheduler that is short of processor time hands
--- a/internal/scheduler/loop.go
+++ b/internal/scheduler/loop.go
@@ -12,14 +12,13 @@
 // each heartbeat would take more than this controller's part of a processor.
 const passEvery = 10 * time.Millisecond
 
-// tickEvery is how often the scheduler looks after what nobody tells it of.
+// tickEvery is how often the scheduler does what no event calls for.
 const tickEvery = 200 * time.Millisecond
 
 // logLoadEvery is how often the scheduler logs how full it is.
 const logLoadEvery = 10 * time.Second
 
-// loop schedules whenever something has changed, and looks after the machines
-// at regular times.
+// loop schedules whenever something has changed, and ticks at regular times.
 func (s *Scheduler) loop(ctx context.Context) error {
 	tick := time.NewTicker(tickEvery)
 	defer tick.Stop()
@@ -43,7 +42,8 @@
 	logged, tidied, summarized, closed time.Time
 }
 
-// tick looks after machines, records and what others are told.
+// tick does what is due by the clock: it watches the machines, writes records that
+// can wait, and brings up to date what the other controllers are sent.
 func (s *Scheduler) tick(now time.Time) {
 	s.epochChecked.Store(false) // in case that a change went unnoticed
 	s.mu.Lock()
@@ -95,19 +95,21 @@
 	total, longest time.Duration
 }
 
+// add counts a pass.
 func (p *passTimes) add(took time.Duration) {
 	p.count, p.total, p.longest = p.count+1, p.total+took, max(p.longest, took)
 }
 
-// EpochChanged tells the scheduler that the epoch or a machine's owner has changed.
+// EpochChanged notes that the epoch or a machine's owner has changed.
 func (s *Scheduler) EpochChanged() { s.recheckEpoch() }
 
-// recheckEpoch has the next pass look at who owns what.
+// recheckEpoch has the next pass compare what the scheduler has with who owns what.
 func (s *Scheduler) recheckEpoch() {
 	s.epochChecked.Store(false)
 	s.wakeLoop()
 }
 
+// wakeLoop has the loop make another pass soon. It needs no lock.
 func (s *Scheduler) wakeLoop() {
 	select {
 	case s.wake <- struct{}{}:
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -9,27 +9,39 @@
 	"heronwick/internal/packing"
 )
 
-// machine is a machine that the scheduler owns, with its decisions about it.
+// machine is a machine that the scheduler owns, with what the packages that
+// judge, record and fill it keep of it, and the scheduler's decisions about it.
 type machine struct {
 	detector.Worker
-	record          checkpoint.Machine // what is recorded of it
-	commandPending  bool               // a direct command is under way
-	commandAgain    bool
-	returning       bool
+	record  checkpoint.Machine // what is recorded of it
+	packing *packing.Machine   // what is known of its room
+
+	commandPending bool // a direct command is under way
+	commandAgain   bool // another is to follow it
+
+	idleSince      time.Time       // when its last task ended
+	placeNotBefore time.Time       // no placements before then: its worker has refused a start
+	failedJobs     map[string]bool // jobs that failed on it, since a task on it last succeeded
+	quarantined    bool            // fails what it starts: no new placements
+
+	returning       bool      // it is being returned to the cloud
 	returnIntent    bool      // an owner before has recorded that it is to be returned
-	quarantined     bool      // fails what it starts: no new placements
-	returnNotBefore time.Time // not before then, since the last try was refused
-	failedJobs      map[string]bool
-	idleSince       time.Time
-	placeNotBefore  time.Time        // no placements before then
-	packing         *packing.Machine // what is known of its room
+	returnNotBefore time.Time // no return is tried before then: the last one could not be recorded
 
-	syncToken  uint64 // heartbeats under older tokens do not settle its record
-	fenceToken uint64 // nobody else answers its worker once epochs before this are fenced; 0: nobody does
+	// syncToken is the fencing token under which the worker must have sent a
+	// heartbeat for the machine to count as synced.
+	syncToken uint64
+	// fenceToken: no other controller answers the worker once the epochs before this
+	// token are fenced; 0: none does.
+	fenceToken uint64
 }
 
+// addMachineLocked makes a machine one of the scheduler's.
 func (s *Scheduler) addMachineLocked(fm *fleet.Machine, now time.Time) *machine {
-	m := &machine{Worker: detector.NewWorker(fm, now), record: checkpoint.Machine{Machine: fm}, failedJobs: map[string]bool{}, idleSince: now}
+	m := &machine{
+		Worker: detector.NewWorker(fm, now), record: checkpoint.Machine{Machine: fm},
+		failedJobs: map[string]bool{}, idleSince: now,
+	}
 	m.packing = packing.NewMachine(fm, func(now time.Time) bool { return s.acceptsLocked(m, now) })
 	m.Type = s.types[m.TypeName]
 	m.syncToken, m.fenceToken = s.epoch.Token, s.epoch.Token
@@ -40,14 +52,16 @@
 	return m
 }
 
-// synced tells whether the worker's heartbeat under its owner's token has come:
-// then the machine's record is settled.
+// synced tells whether the worker has sent a heartbeat under the scheduler's
+// fencing token: then all that is on the machine is known.
 func (s *Scheduler) synced(m *machine) bool { return m.HeartbeatSeen && m.FencingToken >= m.syncToken }
 
 // acceptsLocked tells whether new tasks may go to the machine, if there is room.
 func (s *Scheduler) acceptsLocked(m *machine, now time.Time) bool {
-	return s.synced(m) && m.Type != nil && !m.returning && !m.returnIntent && !m.quarantined && m.Responsive() &&
-		m.Notice.IsZero() && !now.Before(m.placeNotBefore) && now.Sub(m.LastHeartbeat) < s.detector.SuspectAfter() && !s.detector.HeartbeatsMissing(&m.Worker, now)
+	kept := !m.returning && !m.returnIntent && !m.quarantined && m.Notice.IsZero()
+	return s.synced(m) && m.Type != nil && kept && !now.Before(m.placeNotBefore) &&
+		m.Responsive() && now.Sub(m.LastHeartbeat) < s.detector.SuspectAfter() &&
+		!s.detector.HeartbeatsMissing(&m.Worker, now)
 }
 
 // usableLocked tells whether new tasks may go to the machine at all.
@@ -59,7 +73,8 @@
 	return sized
 }
 
-// updateOpenLocked takes a machine whose last task has ended off the list.
+// updateOpenLocked keeps a machine on the list of open ones for as long as tasks
+// are on it.
 func (s *Scheduler) updateOpenLocked(m *machine) {
 	if m.ActiveCount() > 0 {
 		if !s.packer.Open.Has(m.packing) {
@@ -73,7 +88,7 @@
 	}
 }
 
-// isReleasedLocked tells whether a machine was surely given back to the cloud, by
+// isReleasedLocked tells whether a machine was surely returned to the cloud, by
 // this scheduler or by another.
 func (s *Scheduler) isReleasedLocked(name string) bool {
 	if s.inventory.IsReleased(name) {
@@ -106,7 +121,7 @@
 	s.checkpoints.Leave(&m.record)
 	delete(s.machines, m.Name)
 	if _, named := s.opts.Authority.OwnerOf(m.Name); named {
-		// Whoever takes over what is ours must not take it for a machine.
+		// Whoever takes over this scheduler's machines must not expect it among them.
 		s.transfers.Release(m.Name)
 	}
 }
--- a/internal/scheduler/machinewatch.go
+++ b/internal/scheduler/machinewatch.go
@@ -13,7 +13,7 @@
 	// do not lead, also those that the leader reaches.
 	resignAfter = 10 * time.Second
 	// leftoversAfter and leftoversIdleAfter are how long after the token last rose, and
-	// after a machine became idle, exited attempts on it may ask for a higher token.
+	// after a machine became idle, exited attempts on it may call for a higher token.
 	leftoversAfter     = 20 * time.Second
 	leftoversIdleAfter = 2 * time.Second
 	// overdueMargin is how long before a cancelled task must be gone its machine is
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -20,7 +20,7 @@
 		return
 	}
 	// Hosted jobs take their turn: what they want is kept free until their owner
-	// asks again.
+	// requests again.
 	for _, hosted := range s.hostedJobs {
 		if hosted.OwnerUnplaced > 0 && now.Sub(hosted.OwnerRequestedAt) < packing.ReservationTimeout {
 			waiting = append(waiting, hosted)
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// victimsAfter is how soon tasks to stop are looked for again in vain: that
-	// looks at every task of the scheduler.
-	victimsAfter = 300 * time.Millisecond
+	// victimSearchEvery is how soon tasks to stop are searched for again where none
+	// was found: that goes over every task of the scheduler.
+	victimSearchEvery = 300 * time.Millisecond
 	// preemptAgainAfter is for how long tasks that are being stopped for a job
 	// are awaited before more are stopped for it.
 	preemptAgainAfter = 2 * time.Second
@@ -21,7 +21,7 @@
 // victimSummary is what one pass over the queue has found out about the tasks
 // that may be stopped.
 type victimSummary struct {
-	known          bool // whether it was looked for
+	known          bool // whether the pass has searched
 	lowestRank     int  // the highest number, of the lowest priority
 	aboveGuarantee bool // whether any team is above its guarantee
 }
@@ -35,6 +35,7 @@
 	return queued.EffectivePriority < s.victims.lowestRank || guaranteed && s.victims.aboveGuarantee
 }
 
+// summarizeVictimsLocked goes over all tasks once for the pass.
 func (s *Scheduler) summarizeVictimsLocked() victimSummary {
 	summary := victimSummary{known: true, aboveGuarantee: s.teams.AnyAboveGuarantee()}
 	for _, m := range s.machines {
@@ -56,7 +57,7 @@
 		return false
 	}
 	tried := &queued.NoVictimAt[images]
-	if now.Sub(*tried) < victimsAfter {
+	if now.Sub(*tried) < victimSearchEvery {
 		return false
 	}
 	// What was stopped a moment ago has not made its room yet.
--- a/internal/scheduler/probes.go
+++ b/internal/scheduler/probes.go
@@ -16,6 +16,7 @@
 // its workers for silent, uses all of its time to probe them.
 const probesPerCore = 1000
 
+// probeRate bounds the probes of a controller with so many cores.
 func probeRate(coreShare float64) *rate.Limiter {
 	perSecond := probesPerCore * coreShare
 	return limiter(perSecond, max(2*detector.SampleSize, int(perSecond)))
@@ -29,13 +30,14 @@
 	return rate.NewLimiter(rate.Limit(perSecond), burst)
 }
 
+// probeIfDueLocked probes a worker if the detector says so and the rate allows it.
 func (s *Scheduler) probeIfDueLocked(m *machine, now time.Time) {
 	if s.detector.ProbeDue(&m.Worker, now) && s.probeRate.Allow() {
 		s.probeLocked(m, now)
 	}
 }
 
-// probeLocked asks a worker for its status, and notes whether it answers.
+// probeLocked requests a worker's status, and notes whether it answers.
 func (s *Scheduler) probeLocked(m *machine, now time.Time) {
 	if m.Address == "" {
 		m.ProbeImpossible(now)
@@ -59,7 +61,7 @@
 	})
 }
 
-// probe asks the worker at an address for its status.
+// probe requests the status of the worker at an address.
 func (s *Scheduler) probe(ctx context.Context, address string) (*wire.Heartbeat, error) {
 	ctx, cancel := context.WithTimeout(ctx, detector.ProbeTimeout)
 	defer cancel()
@@ -77,8 +79,8 @@
 	}
 }
 
-// returnRestartedLocked returns a machine whose worker answers with less than it has
-// told before: it has started anew, without the tasks that it had. Commands that were
+// returnRestartedLocked returns a machine whose worker answers with an incarnation
+// or a sequence number from before its last heartbeat: it has started anew, without the tasks that it had. Commands that were
 // meant for it as it was may still come, and what they start lasts for the lease with
 // which it has begun.
 func (s *Scheduler) returnRestartedLocked(m *machine) {
@@ -86,8 +88,8 @@
 	s.returnLocked([]*machine{m}, autoscale.ReasonRestarted)
 }
 
-// probeSampleLocked asks some workers of each zone that have not been heard for a
-// moment: whether they answer tells if one worker is dead, a zone partitioned off,
+// probeSampleLocked probes some workers of each zone that have not been heard for a
+// moment: whether they answer shows if one worker is dead, a zone partitioned off,
 // or this controller.
 func (s *Scheduler) probeSampleLocked(now time.Time) {
 	probed := map[string]int{}
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// progressRepeatFor is how long a change of progress is reported, so that a lost
+	// progressRepeatFor is how long a change of progress is sent, so that a lost
 	// message does not hide it.
 	progressRepeatFor = 3 * time.Second
-	// allProgressEvery is how often that of all jobs is reported: to a controller
-	// that has started since, a job that goes on alike would stay queued.
+	// allProgressEvery is how often that of all jobs is sent: to a controller that
+	// has started since, a job whose progress does not change would stay queued.
 	allProgressEvery = 20 * time.Second
 )
 
-// Progress reports how far the jobs are whose progress has changed lately, and
-// now and then all, for display.
+// Progress returns how far the jobs are whose progress has changed lately, and
+// now and then of all, by job ID. It is for display only.
 func (s *Scheduler) Progress() map[string]job.Progress {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,9 +51,9 @@
 			}
 		}
 	}
-	for remote := range s.remoteAttempts.All() {
-		if remote.State == wire.TaskRunning {
-			running[remote.Job]++
+	for a := range s.remoteAttempts.All() {
+		if a.State == wire.TaskRunning {
+			running[a.Job]++
 		}
 	}
 	return running
--- a/internal/scheduler/rebalancing.go
+++ b/internal/scheduler/rebalancing.go
@@ -33,7 +33,7 @@
 	if len(idle) <= 1 {
 		return
 	}
-	// What a controller has in use tells what it will need.
+	// A controller will need about as much as it has in use.
 	keep := max(1, (len(s.machines)-len(idle))/keepIdlePart)
 	switch {
 	case len(idle) <= keep:
--- a/internal/scheduler/remoteplacement.go
+++ b/internal/scheduler/remoteplacement.go
@@ -50,7 +50,7 @@
 	a.Zone = zone
 }
 
-// placeRemotelyLocked asks the other controllers for room for what waits.
+// placeRemotelyLocked requests room for what waits from the other controllers.
 func (s *Scheduler) placeRemotelyLocked(now time.Time) {
 	if !s.loaded || !s.permitted() || len(s.epoch.Members) < 2 || !s.numbersLeftLocked(now) {
 		return
@@ -68,20 +68,26 @@
 }
 
 // remoteCandidatesLocked returns the jobs that wait for room. It is urgent
-// where one of them waits only to hear of room beside its image.
+// where one of them waits only for answers about room beside its image.
 func (s *Scheduler) remoteCandidatesLocked(now time.Time) (waiting []*queue.Job, urgent bool) {
 	for _, queued := range s.jobs {
-		awaitsHeld := now.Sub(queued.ImageWaitSince) < imageWaitTimeout
-		if (awaitsHeld || !queued.UnplacedSince.IsZero()) && queued.Pending() > 0 && s.teams.WithinLimit(queued, 1) && !now.Before(queued.NotBefore) && !queued.FailsEverywhere() {
+		awaitsImage := now.Sub(queued.ImageWaitSince) < imageWaitTimeout
+		if (awaitsImage || !queued.UnplacedSince.IsZero()) && s.mayGoElsewhereLocked(queued, now) {
 			waiting = append(waiting, queued)
-			urgent = urgent || awaitsHeld
+			urgent = urgent || awaitsImage
 		}
 	}
 	return waiting, urgent
 }
 
+// mayGoElsewhereLocked tells whether a task of the job may be placed now, on any
+// controller's machines.
+func (s *Scheduler) mayGoElsewhereLocked(queued *queue.Job, now time.Time) bool {
+	return queued.Pending() > 0 && s.teams.WithinLimit(queued, 1) && !now.Before(queued.NotBefore) && !queued.FailsEverywhere()
+}
+
 // placementPeersLocked returns the other controllers in the order in which
-// they are asked: the leader first, which has the idle machines.
+// they get placement requests: the leader first, which has the idle machines.
 func (s *Scheduler) placementPeersLocked() []string {
 	nodes := []string{s.epoch.Leader}
 	for node := range s.epoch.Members {
@@ -93,7 +99,7 @@
 	return slices.DeleteFunc(nodes, func(node string) bool { return node == s.opts.Node })
 }
 
-// requestPlacementLocked asks one peer for room. The tasks count as placed
+// requestPlacementLocked requests room from one peer. The tasks count as placed
 // remotely before the request goes out: without an answer the peer may have
 // taken them.
 func (s *Scheduler) requestPlacementLocked(node string, waiting []*queue.Job) {
@@ -110,6 +116,8 @@
 	})
 }
 
+// sendPlaceRequest sends a placement request, which must be answered within
+// peerTimeout.
 func (s *Scheduler) sendPlaceRequest(ctx context.Context, node string, req *peerpb.PlaceRequest) (*peerpb.PlaceReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -138,8 +146,13 @@
 // wantedLocked takes up to budget next tasks of queued, maxRequestTasksPerJob at
 // most, as new attempts that are requested of node.
 func (s *Scheduler) wantedLocked(queued *queue.Job, node string, budget int) *peerpb.Wanted {
-	wanted := &peerpb.Wanted{Job: queued.Record.Job.ID, Guaranteed: s.teams.Guaranteed(queued), Pending: uint32(queued.Unplaced()), Zones: map[string]uint32{},
-		Held: queued.UnplacedSince.IsZero()}
+	wanted := &peerpb.Wanted{
+		Job:        queued.Record.Job.ID,
+		Guaranteed: s.teams.Guaranteed(queued),
+		Pending:    uint32(queued.Unplaced()),
+		Zones:      map[string]uint32{},
+		Held:       queued.UnplacedSince.IsZero(),
+	}
 	for zone, n := range queued.Zones {
 		if n > 0 {
 			wanted.Zones[zone] = uint32(n)
@@ -162,7 +175,7 @@
 
 // takePlaceReplyLocked takes the peer's answer to req: the attempts that it
 // took move to their zone, the others are forgotten. Without an answer (err),
-// they stay tracked: asking what became of them settles them.
+// they stay tracked until they are settled.
 func (s *Scheduler) takePlaceReplyLocked(node string, req *peerpb.PlaceRequest, reply *peerpb.PlaceReply, err error) {
 	if err != nil {
 		s.log.Debug("asking for room failed", "peer", node, "err", err)
@@ -180,7 +193,7 @@
 	s.wakeLoop()
 }
 
-// placeOutcome is what a reply means for when the peer is asked again.
+// placeOutcome is what a reply means for when the peer gets the next request.
 func placeOutcome(reply *peerpb.PlaceReply, err error) remote.Outcome {
 	switch {
 	case len(reply.GetTaken()) > 0 || reply.GetGiven() > 0 || reply.GetMaking():
@@ -204,7 +217,7 @@
 	}
 	a.Requested = false
 	if err != nil {
-		return // asking what became of it settles it
+		return // it stays until it is settled
 	}
 	if hosted := taken[key]; hosted != nil {
 		s.moveZoneLocked(a, hosted.Zone)
--- a/internal/scheduler/renting.go
+++ b/internal/scheduler/renting.go
@@ -14,11 +14,12 @@
 	"heronwick/wire"
 )
 
-// maxWants bounds the jobs of which a scheduler tells that they find no room.
+// maxWants bounds the jobs without room that a heartbeat to a peer names.
 const maxWants = 500
 
-// wantsLocked tells the peers what finds no room here: one controller rents,
-// and must know of all that waits, not only of what it is just asked to place.
+// wantsLocked returns, for the heartbeats to the peers, what finds no room here: the
+// leader rents, and must know of all that waits, not only of what it is just
+// requested to place.
 func (s *Scheduler) wantsLocked(now time.Time) []*peerpb.Want {
 	var wants []*peerpb.Want
 	for id, queued := range s.jobs {
--- a/internal/scheduler/returns.go
+++ b/internal/scheduler/returns.go
@@ -13,7 +13,7 @@
 const (
 	// returnAgainAfter is how long a machine is kept whose return was refused.
 	returnAgainAfter = time.Second
-	// closeReturnsEvery is how often intents are looked through whose machines are gone.
+	// closeReturnsEvery is how often return intents are removed whose machines are gone.
 	closeReturnsEvery = 3 * time.Second
 )
 
--- a/internal/scheduler/settle.go
+++ b/internal/scheduler/settle.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// Settling: the owner of a job asks the hosts of its remote attempts what
-// became of them. hosting.go answers.
+// Settling: the owner of a job asks the hosts of its remote attempts what became
+// of them. hosting.go answers. See package remote.
 
 import (
 	"context"
@@ -81,13 +81,15 @@
 	}
 }
 
+// sendSettleRequest sends a settle request, which must be answered within
+// peerTimeout.
 func (s *Scheduler) sendSettleRequest(ctx context.Context, node string, req *peerpb.SettleRequest) (*peerpb.SettleReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	return s.opts.Peers.Settle(ctx, node, req)
 }
 
-// takeSettledLocked takes what its host tells of a remote attempt.
+// takeSettledLocked takes what its host answers about a remote attempt.
 func (s *Scheduler) takeSettledLocked(a *remote.Attempt, hosted *peerpb.Hosted, now time.Time) {
 	if !hosted.Known {
 		s.log.Info("task lost", "task", a.Task, "attempt", a.Attempt.Attempt, "host", a.Host)
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -7,7 +7,7 @@
 	"heronwick/internal/placement"
 )
 
-// logLoadLocked tells an operator how full the scheduler is.
+// logLoadLocked logs how full the scheduler is, for its operator.
 func (s *Scheduler) logLoadLocked(now time.Time) {
 	usable, open, tasks, waiting, notReady := 0, 0, 0, 0, 0
 	for _, m := range s.machines {
@@ -27,8 +27,9 @@
 			notReady++
 		}
 	}
-	s.log.Info("load", "jobs", len(s.jobs), "remote", s.remoteAttempts.Len(), "waiting", waiting, "not_ready", notReady, "tasks", tasks, "machines", len(s.machines), "usable", usable,
-		"open", open, "booting", len(s.inventory.Booting()), "cpus", available.total.CPUs, "free_cpus", available.free.CPUs, "free_memory_gb", available.free.MemoryGB,
+	s.log.Info("load", "jobs", len(s.jobs), "remote", s.remoteAttempts.Len(), "waiting", waiting, "not_ready", notReady,
+		"tasks", tasks, "machines", len(s.machines), "usable", usable, "open", open, "booting", len(s.inventory.Booting()),
+		"cpus", available.total.CPUs, "free_cpus", available.free.CPUs, "free_memory_gb", available.free.MemoryGB,
 		"latency", s.detector.Latency(), "passes", s.passes.count, "pass_time", s.passes.total, "longest_pass", s.passes.longest)
 	s.passes = passTimes{}
 }
@@ -39,7 +40,7 @@
 	total, free  placement.Resources
 }
 
-// capacityLocked sums what the usable machines have.
+// capacityLocked counts the idle machines and sums the resources of the usable ones.
 func (s *Scheduler) capacityLocked(now time.Time) capacity {
 	var sum capacity
 	for _, m := range s.machines {
@@ -54,11 +55,11 @@
 	return sum
 }
 
-// summary is what the peers are told of the scheduler.
+// summary is what heartbeats to the peers say of the scheduler.
 type summary struct {
 	machines, idle int
 	cpus, freeCPUs float64
-	cut            bool
+	partitioned    bool
 	overloaded     bool
 	wants          []*peerpb.Want
 }
@@ -67,21 +68,22 @@
 // to each of two peers.
 const summarizeEvery = 500 * time.Millisecond
 
+// summarizeLocked makes the summary anew.
 func (s *Scheduler) summarizeLocked(now time.Time) {
 	available := s.capacityLocked(now)
 	s.summary.Store(&summary{machines: len(s.machines), idle: available.idleMachines, cpus: available.total.CPUs, freeCPUs: available.free.CPUs,
-		cut: s.detector.Partitioned(), overloaded: s.overloadedLocked(now), wants: s.wantsLocked(now)})
+		partitioned: s.detector.Partitioned(), overloaded: s.overloadedLocked(now), wants: s.wantsLocked(now)})
 }
 
-// Status fills in what the peers are told of the scheduler, as last summarized. It
-// takes no lock: a heartbeat must not wait behind passes and reports, or a busy
-// controller is taken for dead.
+// Status fills in what a heartbeat to a peer says of the scheduler, as last
+// summarized. It takes no lock: the heartbeat must not wait behind passes and
+// workers' heartbeats, or a busy controller is taken for dead.
 func (s *Scheduler) Status(status *peerpb.Status) {
 	sum := s.summary.Load()
 	if sum == nil {
 		return
 	}
 	status.Machines, status.Idle = uint32(sum.machines), uint32(sum.idle)
-	status.Cpus, status.FreeCpus, status.Cut = sum.cpus, sum.freeCPUs, sum.cut
+	status.Cpus, status.FreeCpus, status.Cut = sum.cpus, sum.freeCPUs, sum.partitioned
 	status.Overloaded, status.Wants = sum.overloaded, sum.wants
 }
--- a/internal/scheduler/tokensync.go
+++ b/internal/scheduler/tokensync.go
@@ -11,34 +11,35 @@
 )
 
 const (
-	// maxTokenRequests is how many workers are shown a new token at a time. A takeover
+	// maxTokenRequests is how many workers are sent a new token at a time. A takeover
 	// of thousands at once would use up sockets and this controller's part of a
 	// processor, and most send a heartbeat by themselves before their turn comes. Those
 	// of a zone that is partitioned off must not keep all others waiting.
 	maxTokenRequests = 512
-	// tokenRequestsPerCore is how many workers a second may be shown a new token for
+	// tokenRequestsPerCore is how many workers a second may be sent a new token for
 	// each core that this controller has: about half of its time, the rest is for the
 	// heartbeats that come by themselves.
 	tokenRequestsPerCore = 4000
-	// tokenRequestPause is how long showing the token waits where it went too fast.
+	// tokenRequestPause is how long sending the token waits where it went too fast.
 	tokenRequestPause = 50 * time.Millisecond
 )
 
 // tokenSync is the part of a takeover that follows the rebuild: the workers of the
-// machines that were taken are shown the scheduler's fencing token.
+// machines that were adopted are sent the scheduler's fencing token.
 type tokenSync struct {
-	unsynced []*machine    // whose workers are still to be shown the token
+	unsynced []*machine    // whose workers are still to be sent the token
 	requests int           // that are under way
 	rate     *rate.Limiter // of requests
 	paused   bool          // until the rate allows the next
 }
 
+// tokenRequestRate bounds the token requests of a controller with so many cores.
 func tokenRequestRate(coreShare float64) *rate.Limiter {
 	perSecond := tokenRequestsPerCore * coreShare
 	return limiter(perSecond, max(1, min(maxTokenRequests, int(perSecond/4))))
 }
 
-// queueTokenSyncLocked shows a worker the new token soon and takes its heartbeat: until then
+// queueTokenSyncLocked sends a worker the new token soon and takes its heartbeat: until then
 // nothing may be placed on its machine.
 func (s *Scheduler) queueTokenSyncLocked(m *machine) {
 	if m.mustStop() {
@@ -49,7 +50,7 @@
 	s.syncNextWorkersLocked()
 }
 
-// mustStop tells whether a cancelled job's task may be on the machine: showing
+// mustStop tells whether a cancelled job's task may be on the machine: sending
 // its worker the token, and with it the stop, does not wait for its turn.
 func (m *machine) mustStop() bool {
 	for _, a := range m.Attempts.All() {
