--- a/internal/autoscale/doc.go
+++ b/internal/autoscale/doc.go
@@ -7,6 +7,7 @@
 // A Renter and a Returner record requests, send them and repeat those without
 // an answer.
 //
-// A Planner and its Inventory are not safe for concurrent use: the lock of the
-// scheduler that owns them guards them.
+// A Planner and its Inventory do no I/O and are not safe for concurrent use: the lock
+// of the scheduler that owns them guards them. A Renter and a Returner do their I/O
+// without that lock; their callbacks take it.
 package autoscale
--- a/internal/autoscale/inventory.go
+++ b/internal/autoscale/inventory.go
@@ -6,8 +6,8 @@
 	"heronwick/internal/placement"
 )
 
-// Inventory knows the machines that were rented and whose workers have not
-// reported yet, those that were released, and what the cloud has lately
+// Inventory knows the machines that were rented and whose workers have sent no
+// heartbeat yet, those that were released, and what the cloud has lately
 // refused. It does no I/O and is not safe for concurrent use.
 type Inventory struct {
 	booting  map[string]*bootingMachine
@@ -15,7 +15,7 @@
 	released map[string]time.Time // when each machine was released
 }
 
-// bootingMachine is a machine that was rented and whose worker has not reported.
+// bootingMachine is a machine that was rented and whose worker has sent no heartbeat yet.
 type bootingMachine struct {
 	place     placement.Place
 	rentedAt  time.Time
@@ -24,12 +24,12 @@
 
 // refusal remembers that the cloud had no such machine.
 type refusal struct {
-	until   time.Time // it is not asked again before then
+	until   time.Time // no request goes out before then
 	backoff time.Duration
 }
 
 const (
-	// firstBackoff is how long a place is not asked for after its first
+	// firstBackoff is how long no request for a place goes out after its first
 	// refusal; each further refusal doubles it.
 	firstBackoff = 5 * time.Second
 	// maxBackoff bounds that.
@@ -55,8 +55,8 @@
 	}
 }
 
-// Joined removes a machine from the booting ones: its worker reports, here or
-// to another controller.
+// Joined removes a machine from the booting ones: its worker sends heartbeats,
+// here or to another controller.
 func (inv *Inventory) Joined(name string) { delete(inv.booting, name) }
 
 // Booting returns the names of the booting machines, in no order.
--- a/internal/autoscale/returner.go
+++ b/internal/autoscale/returner.go
@@ -91,7 +91,7 @@
 	r.Released(ret.Machines)
 }
 
-// record records the return intent and gives what then carries it out. A
+// record records the return intent and returns what then carries it out. A
 // cancelled task must be gone by a time, also while the store cannot be
 // reached: its machine is then returned without an intent.
 func (r *Returner) record(ctx context.Context, ret Return) (send func(context.Context) error, err error) {
--- a/internal/checkpoint/journalwrite.go
+++ b/internal/checkpoint/journalwrite.go
@@ -31,7 +31,7 @@
 
 // journalEvery is how long one write of the journal waits after the one
 // before: it comes before the ends of jobs, and must leave them, and the other
-// schedulers, most of the state service's limit.
+// schedulers, most of the writes that the store allows.
 func (w *Writer) journalEvery() time.Duration {
 	const part = 6 // of the writes of all controllers
 	return time.Duration(part / max(w.opts.Settings.StateWriteRate, 1) * float64(time.Second))
@@ -46,6 +46,7 @@
 	bytesPerMachine = 820 // of journals
 )
 
+// maxJournals is how many journals the scheduler may have.
 func (w *Writer) maxJournals() int {
 	return max(leastJournals, w.scheduler.MachineCount()*bytesPerMachine/w.opts.Settings.MaxValueBytes)
 }
@@ -123,7 +124,10 @@
 
 // journalContent returns what the journal alone holds already.
 func (w *Writer) journalContent(journal *Bucket) journalContent {
-	c := journalContent{journal: journal, RecordBucket: fleet.RecordBucket{Machines: map[string]fleet.Record{}, Write: w.scheduler.WriteMark()}}
+	c := journalContent{
+		journal:      journal,
+		RecordBucket: fleet.RecordBucket{Machines: map[string]fleet.Record{}, Write: w.scheduler.WriteMark()},
+	}
 	for m, r := range w.extracts(journal) {
 		c.Machines[m.Name] = r
 		c.size += r.Size(m.Name)
--- a/internal/checkpoint/table.go
+++ b/internal/checkpoint/table.go
@@ -134,6 +134,7 @@
 	return t.add()
 }
 
+// add adds an empty bucket.
 func (t *Table) add() *Bucket {
 	t.named++
 	b := &Bucket{key: t.bucketKey(t.named), machines: map[string]*Machine{}}
--- a/internal/checkpoint/write.go
+++ b/internal/checkpoint/write.go
@@ -29,9 +29,13 @@
 	gathered     []*Machine                    // with records left over on other buckets
 }
 
+// newWrite returns a write of nothing yet, fenced by the epoch.
 func (w *Writer) newWrite(priority state.Priority) *bucketWrite {
-	return &bucketWrite{attempts: map[*Machine][]*fleet.Attempt{}, jobs: map[string]bool{},
-		request: w.scheduler.Fence().Bind(state.Write{Priority: priority, Persist: true})}
+	return &bucketWrite{
+		request:  w.scheduler.Fence().Bind(state.Write{Priority: priority, Persist: true}),
+		jobs:     map[string]bool{},
+		attempts: map[*Machine][]*fleet.Attempt{},
+	}
 }
 
 // admits tells whether the write can record an attempt, and makes it
@@ -88,7 +92,7 @@
 	w.start(write)
 }
 
-// start commits a write without the lock.
+// start commits a write, as work of the scheduler.
 func (w *Writer) start(write *bucketWrite) {
 	w.opts.Go(func(ctx context.Context) { w.commit(ctx, write) })
 }
@@ -96,6 +100,7 @@
 // commitAgainAfter is how long what could not be recorded waits.
 const commitAgainAfter = 100 * time.Millisecond
 
+// commit commits a write and takes its result. The lock is not held meanwhile.
 func (w *Writer) commit(ctx context.Context, write *bucketWrite) {
 	version, err := w.opts.Committer.Commit(ctx, write.request)
 	known := err == nil
--- a/internal/checkpoint/writer.go
+++ b/internal/checkpoint/writer.go
@@ -99,7 +99,7 @@
 }
 
 // tidyFullEvery is how often buckets are tidied that still hold something: what else
-// they name is looked through at a takeover, no more.
+// they name only makes a takeover read more.
 const tidyFullEvery = time.Minute
 
 // Tidy writes the buckets that name machines which are no longer here,
--- a/internal/completion/flush.go
+++ b/internal/completion/flush.go
@@ -147,6 +147,7 @@
 	t.scheduler.Go(func(ctx context.Context) { t.commit(ctx, write) })
 }
 
+// encode returns the value of a bucket.
 func (t *Table) encode(b *bucket) json.RawMessage {
 	value, err := json.Marshal(job.DoneBucket{Jobs: b.jobs, Write: t.scheduler.WriteMark()})
 	if err != nil {
--- a/internal/completion/table.go
+++ b/internal/completion/table.go
@@ -23,6 +23,7 @@
 	successors []*bucket
 }
 
+// put enters a block of a job's bitmap.
 func (b *bucket) put(id string, block int, bits []byte) {
 	if b.jobs[id] == nil {
 		b.jobs[id] = map[int][]byte{}
@@ -30,6 +31,7 @@
 	b.jobs[id][block] = bits
 }
 
+// empty tells whether the bucket holds nothing any more.
 func (b *bucket) empty() bool { return len(b.jobs) == 0 }
 
 // Table is one scheduler's buckets of completion bitmaps: which there are,
@@ -76,6 +78,7 @@
 	return b
 }
 
+// add adds an empty bucket.
 func (t *Table) add() *bucket {
 	t.named++
 	b := &bucket{key: t.scheduler.BucketKey(t.named), jobs: map[string]map[int][]byte{}}
--- a/internal/detector/detector.go
+++ b/internal/detector/detector.go
@@ -82,7 +82,7 @@
 // probeWanted tells whether the worker has been silent for so long that it is probed.
 func (d *Detector) probeWanted(w *Worker, now time.Time) bool {
 	silence := w.silence(now)
-	// Whether it serves is only looked up of those that may be silent.
+	// Whether it serves is only found out of those that may be silent.
 	return silence > min(d.probeServingAfter(), d.SuspectAfter()) && silence > d.probeAfter(w)
 }
 
--- a/internal/detector/heartbeatindex.go
+++ b/internal/detector/heartbeatindex.go
@@ -15,6 +15,7 @@
 	zones map[string]*heartbeatTimes
 }
 
+// newHeartbeatIndex returns the index of all workers.
 func newHeartbeatIndex(workers iter.Seq[*Worker]) *heartbeatIndex {
 	index := &heartbeatIndex{zones: map[string]*heartbeatTimes{}}
 	for w := range workers {
@@ -39,6 +40,7 @@
 	last, failing []time.Time
 }
 
+// add adds a worker; sort must follow the last.
 func (h *heartbeatTimes) add(w *Worker) {
 	h.last = append(h.last, w.LastHeartbeat)
 	if w.failedProbes > 0 {
@@ -46,6 +48,7 @@
 	}
 }
 
+// sort puts the times in order, for since.
 func (h *heartbeatTimes) sort() {
 	slices.SortFunc(h.last, time.Time.Compare)
 	slices.SortFunc(h.failing, time.Time.Compare)
--- a/internal/ownership/doc.go
+++ b/internal/ownership/doc.go
@@ -1,6 +1,7 @@
 // Package ownership keeps what a scheduler knows of machines that change
 // owner: those that it is handing over to another controller, and released
-// ones that the other controllers are still to be told of. It does no I/O.
+// ones that are still to be announced to the other controllers. It does no I/O: the
+// scheduler writes the transfers.
 //
 // Nothing in it is safe for concurrent use: the lock of the scheduler that owns
 // the machines guards it.
--- a/internal/ownership/transfers.go
+++ b/internal/ownership/transfers.go
@@ -27,7 +27,7 @@
 // is ready to use.
 type Transfers struct {
 	moving     map[string]bool
-	released   []string // that the other controllers are to be told of
+	released   []string // still to be announced to the other controllers
 	announcing bool     // some of them are being written
 }
 
--- a/internal/packing/machine.go
+++ b/internal/packing/machine.go
@@ -13,7 +13,7 @@
 	*fleet.Machine
 	accepts func(now time.Time) bool
 
-	observed uint64 // the pass that has found the next two
+	observed uint64 // the pass that has found usable and free; 0: none
 	usable   bool
 	free     placement.Resources
 
@@ -26,11 +26,11 @@
 	return &Machine{Machine: m, accepts: accepts}
 }
 
-// RoomChanged notes that attempts have come to the machine or gone from it.
+// RoomChanged notes that attempts were added to the machine or removed from it.
 func (m *Machine) RoomChanged() { m.observed = 0 }
 
 // reservation is room on a machine that is kept for one task of a hosted job,
-// until its owner asks for it again.
+// until its owner requests it again.
 type reservation struct {
 	job   string
 	size  placement.Resources
--- a/internal/packing/packer.go
+++ b/internal/packing/packer.go
@@ -8,7 +8,7 @@
 	"heronwick/internal/queue"
 )
 
-// Fleet is what a Packer needs to know of the scheduler's machines.
+// Fleet is what a Packer needs of the scheduler that it belongs to.
 type Fleet interface {
 	// Machines yields all machines, in no order.
 	Machines() iter.Seq[*Machine]
@@ -53,6 +53,7 @@
 	return m.Attempts.Len() < p.fleet.MaxAttempts()
 }
 
+// fits returns Fits for one job, to walk the machines with.
 func (p *Packer) fits(queued *queue.Job, now time.Time) func(*Machine) bool {
 	return func(m *Machine) bool { return p.Fits(queued, m, now) }
 }
--- a/internal/packing/pass.go
+++ b/internal/packing/pass.go
@@ -12,10 +12,10 @@
 // pass is what one pass over the queue has found out and need not find out
 // again for each task of each job: nothing but its own placements changes
 // meanwhile. It never changes which machine is chosen, only how often one is
-// looked at.
+// examined.
 type pass struct {
 	number uint64
-	idle   []*Machine                   // usable and not open, in the order of opening; nil: not looked for yet
+	idle   []*Machine                   // usable and not open, in the order of opening; nil: not searched yet
 	full   map[taskClass]bool           // no machine takes a task of the class
 	lacks  map[placement.Resources]bool // no machine has room for the size, wherever it may go
 	// reserved counts, by job, the hosted tasks that room is reserved for; nil:
@@ -54,7 +54,7 @@
 	p.pass = pass{number: p.pass.number + 1, full: map[taskClass]bool{}, lacks: map[placement.Resources]bool{}}
 }
 
-// RoomFreed tells that there is more room again than the pass has found.
+// RoomFreed notes that there is more room again than the pass has found.
 func (p *Packer) RoomFreed() {
 	clear(p.pass.full)
 	clear(p.pass.lacks)
@@ -102,7 +102,7 @@
 }
 
 // idleMachines returns the machines that were usable and not open when the
-// pass first asked, spot ones before ordinary ones, which other jobs may need,
+// pass first needed them, spot ones before ordinary ones, which other jobs may need,
 // then by name.
 func (p *Packer) idleMachines(now time.Time) []*Machine {
 	if p.pass.idle != nil {
--- a/internal/packing/reservations.go
+++ b/internal/packing/reservations.go
@@ -10,7 +10,7 @@
 )
 
 // ReservationTimeout is how long room is reserved for a hosted job; its owner
-// asks again every remote.RetryAfter.
+// requests it again every remote.RetryAfter.
 const ReservationTimeout = 2 * remote.RetryAfter
 
 // Reserve reserves free room for the tasks of a hosted job that found none, at
--- a/internal/queue/job.go
+++ b/internal/queue/job.go
@@ -22,7 +22,7 @@
 )
 
 // Job is a job of the queue: one of the scheduler's own, or a hosted one, of
-// which another scheduler asks to place tasks here.
+// which another scheduler requests that tasks be placed here.
 type Job struct {
 	Record *job.Record
 	Size   placement.Resources // of one task
@@ -53,19 +53,19 @@
 	UnplacedSince  time.Time                // since when a task has found no room; zero: none waits
 	ImageFetchTime time.Duration            // about how long its image takes to fetch
 	DeferredSince  time.Time                // since when it leaves room where its image is not to others; zero: it does not
-	ImageWaitSince time.Time                // since when room beside its image is looked for at other schedulers
+	ImageWaitSince time.Time                // since when room beside its image is requested from other schedulers
 	PreemptedAt    time.Time                // when tasks were last stopped for this job
 	NoVictimAt     [imagePolicies]time.Time // when no task was last found to stop, by the machines searched
 
 	ReportedProgress  job.Progress
 	ProgressChangedAt time.Time // when ReportedProgress last changed
 
-	Requested int // tasks that another scheduler is being asked to take
+	Requested int // tasks in placement requests that are under way
 
 	Hosted           bool
 	OwnerGuaranteed  bool      // hosted: its owner says that it is within its team's guarantee
 	OwnerUnplaced    int       // hosted: how many of its tasks its owner has no room for
-	OwnerRequestedAt time.Time // and when it last said so
+	OwnerRequestedAt time.Time // hosted: when it last requested room for them
 }
 
 // NewJob returns a job none of whose tasks is placed or done. objectives are
@@ -112,19 +112,19 @@
 	return all
 }
 
-// dominantShare is the largest part of a machine's resources that a task of
-// the size takes.
+// dominantShare is the largest part of any resource of a machine that a task of
+// the size takes, on the machine type where that is least.
 func dominantShare(size placement.Resources, types map[string]*wire.MachineType) float64 {
-	share := 1.0
+	least := 1.0
 	for _, t := range types {
 		capacity := placement.Capacity(t)
-		of := max(size.CPUs/max(capacity.CPUs, 1e-9), size.MemoryGB/max(capacity.MemoryGB, 1e-9))
+		part := max(size.CPUs/max(capacity.CPUs, 1e-9), size.MemoryGB/max(capacity.MemoryGB, 1e-9))
 		if capacity.GPUs > 0 {
-			of = max(of, size.GPUs/capacity.GPUs)
+			part = max(part, size.GPUs/capacity.GPUs)
 		}
-		share = min(share, of)
+		least = min(least, part)
 	}
-	return share
+	return least
 }
 
 // maxImageFetchTime bounds what is taken for the time of a fetch.
--- a/internal/queue/order.go
+++ b/internal/queue/order.go
@@ -18,8 +18,8 @@
 // which in an overload that stays would never be.
 const MaxStartDelay = 4 * time.Minute
 
-// urgency orders the jobs of one priority, the most urgent first. When more is
-// asked than the machines can do, whoever serves late jobs first makes every
+// urgency orders the jobs of one priority, the most urgent first. When there is
+// more work than the machines can do, whoever serves late jobs first makes every
 // job late.
 type urgency int
 
@@ -87,8 +87,8 @@
 }
 
 // SameTurn tells whether two jobs differ only in the work that is left.
-func (e Entry) SameTurn(o Entry) bool {
-	return e.priority == o.priority && e.excess == o.excess && e.urgency == o.urgency
+func (e Entry) SameTurn(other Entry) bool {
+	return e.priority == other.priority && e.excess == other.excess && e.urgency == other.urgency
 }
 
 // compare orders entries: by effective priority, then teams within their
--- a/internal/queue/tasks.go
+++ b/internal/queue/tasks.go
@@ -8,7 +8,8 @@
 	return j.Record.Job.Tasks - j.Done.Count - len(j.live)
 }
 
-// Unplaced counts also those that another scheduler is being asked to take.
+// Unplaced counts the pending tasks and those that another scheduler is requested
+// to take.
 func (j *Job) Unplaced() int { return j.Pending() + j.Requested }
 
 // Served counts the job's tasks that are done or may be on a machine.
@@ -22,9 +23,9 @@
 // NextTask returns the next task to place and leaves it queued.
 func (j *Job) NextTask() (index int, ok bool) {
 	for len(j.retry) > 0 {
-		i := j.retry[len(j.retry)-1]
-		if j.waits(i) {
-			return i, true
+		last := j.retry[len(j.retry)-1]
+		if j.waits(last) {
+			return last, true
 		}
 		j.retry = j.retry[:len(j.retry)-1]
 	}
@@ -83,9 +84,11 @@
 const (
 	// failedMachines is on how many machines a job must have failed, without a
 	// success, to count as failing everywhere.
-	failedMachines   = 2
-	maxFailureWait   = 30 * time.Second
-	maxBackoffDouble = 5 // how often the wait after a failure is doubled at most
+	failedMachines = 2
+	// maxFailureWait bounds how long a job that fails everywhere waits.
+	maxFailureWait = 30 * time.Second
+	// maxFailureDoublings bounds how often the wait after a failure is doubled.
+	maxFailureDoublings = 5
 )
 
 // AddFailure notes that a task has failed on the machine. A job that fails on
@@ -93,7 +96,7 @@
 func (j *Job) AddFailure(machine string, now time.Time) {
 	j.failedOn[machine] = true
 	if n := len(j.failedOn); j.FailsEverywhere() {
-		j.NotBefore = now.Add(min(maxFailureWait, time.Second<<min(n-failedMachines, maxBackoffDouble)))
+		j.NotBefore = now.Add(min(maxFailureWait, time.Second<<min(n-failedMachines, maxFailureDoublings)))
 	}
 }
 
--- a/internal/queue/teams.go
+++ b/internal/queue/teams.go
@@ -35,7 +35,7 @@
 func (t *Teams) Used(team string) placement.Resources { return t.used[team] }
 
 // Guaranteed tells whether one more task of the job stays within its team's
-// guarantee. Of a hosted job its owner has told that.
+// guarantee. Of a hosted job its owner says so.
 func (t *Teams) Guaranteed(j *Job) bool {
 	if j.Hosted {
 		return j.OwnerGuaranteed
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -1,10 +1,3 @@
-// Package recovery reads back from the consensus-backed key-value store what
-// schedulers have recorded there: what may be on which machine, and which tasks
-// are done. A scheduler rebuilds its state from that when it gains jobs or
-// machines.
-//
-// Nothing here has state or holds a lock, so that the reads of a large store keep
-// nobody waiting.
 package recovery
 
 import (
@@ -24,7 +17,7 @@
 	List(ctx context.Context, priority state.Priority, prefix string) (state.Listing, error)
 }
 
-// Jobs tells which jobs are active, which are over, and which of their tasks are done.
+// Jobs knows which jobs are active, which are over, and which of their tasks are done.
 type Jobs interface {
 	Active(id string) *job.Record
 	Resolve(ctx context.Context, id string) (job.Resolution, error)
--- a/internal/remote/attempts.go
+++ b/internal/remote/attempts.go
@@ -14,8 +14,8 @@
 	*fleet.Attempt
 	Host      string // the controller that may have taken it
 	HostSince uint64 // the host's membership; if that is over, the leader has its machines
-	// Requested tells that the placement request is in flight: asking the host
-	// about the attempt would bar it.
+	// Requested tells that the placement request is in flight: settling the attempt
+	// now would have the host deny it.
 	Requested bool
 }
 
@@ -26,26 +26,26 @@
 func NewAttempts() *Attempts { return &Attempts{byKey: map[fleet.Key]*Attempt{}} }
 
 // Add adds an attempt.
-func (as *Attempts) Add(a *Attempt) { as.byKey[a.Key] = a }
+func (r *Attempts) Add(a *Attempt) { r.byKey[a.Key] = a }
 
 // Get returns the attempt with the key, or nil.
-func (as *Attempts) Get(key fleet.Key) *Attempt { return as.byKey[key] }
+func (r *Attempts) Get(key fleet.Key) *Attempt { return r.byKey[key] }
 
 // Delete removes the attempt with the key.
-func (as *Attempts) Delete(key fleet.Key) { delete(as.byKey, key) }
+func (r *Attempts) Delete(key fleet.Key) { delete(r.byKey, key) }
 
 // Len returns how many attempts there are.
-func (as *Attempts) Len() int { return len(as.byKey) }
+func (r *Attempts) Len() int { return len(r.byKey) }
 
 // All yields the attempts, in no order; they may be deleted meanwhile.
-func (as *Attempts) All() iter.Seq[*Attempt] { return maps.Values(as.byKey) }
+func (r *Attempts) All() iter.Seq[*Attempt] { return maps.Values(r.byKey) }
 
 // KeyOf returns the key of an attempt that a message names.
 func KeyOf(at *peerpb.Attempt) fleet.Key {
 	return fleet.Key{Task: at.Task, Attempt: at.Attempt}
 }
 
-// message names an attempt in a message.
-func message(key fleet.Key) *peerpb.Attempt {
+// messageOf returns what names an attempt in a message.
+func messageOf(key fleet.Key) *peerpb.Attempt {
 	return &peerpb.Attempt{Task: key.Task, Attempt: key.Attempt}
 }
--- a/internal/remote/requests.go
+++ b/internal/remote/requests.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// RetryAfter is how soon a peer without room is asked again.
+	// RetryAfter is how soon a peer without room gets another placement request.
 	RetryAfter = 400 * time.Millisecond
-	// retryUrgentAfter is how soon it is asked for what is urgent.
+	// retryUrgentAfter is how soon it gets one for what is urgent.
 	retryUrgentAfter = 100 * time.Millisecond
-	// retryFailedAfter is how soon a peer is asked again that did not answer.
+	// retryFailedAfter is how soon a peer that did not answer gets another.
 	retryFailedAfter = time.Second
-	// retryProgressAfter is how soon a peer is asked again that had or makes room.
+	// retryProgressAfter is how soon a peer that had or makes room gets another.
 	retryProgressAfter = 50 * time.Millisecond
 )
 
@@ -34,13 +34,14 @@
 // apart by how the last one was answered. The zero value is ready to use.
 type Throttle struct{ peers map[string]*peerState }
 
-// peerState is when one peer may be asked.
+// peerState is when one peer may get the next placement request.
 type peerState struct {
 	inFlight   bool
 	next       time.Time // not before then
 	nextUrgent time.Time // not before then for what is urgent
 }
 
+// peer returns the state of a peer, which it adds if need be.
 func (t *Throttle) peer(node string) *peerState {
 	if t.peers == nil {
 		t.peers = map[string]*peerState{}
@@ -53,7 +54,7 @@
 	return p
 }
 
-// Allows tells whether a peer may be asked now.
+// Allows tells whether a peer may get a placement request now.
 func (t *Throttle) Allows(node string, urgent bool, now time.Time) bool {
 	p := t.peer(node)
 	return !p.inFlight && (urgent || !now.Before(p.next)) && !now.Before(p.nextUrgent)
@@ -84,12 +85,12 @@
 // is ready to use and it is safe for concurrent use.
 type RequestHistory struct {
 	mu     sync.Mutex
-	newest map[string]uint64 // by peer, the newest attempt that it has asked about
+	newest map[string]uint64 // by peer, the newest attempt that it has requested
 }
 
 // Accept tells whether a request is no late copy: all attempts that it names
 // must be newer than those of the peer's requests before, since their numbers
-// rise and the peer asks once for each. An accepted request is remembered.
+// rise and the peer requests each once. An accepted request is remembered.
 func (h *RequestHistory) Accept(req *peerpb.PlaceRequest) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/remote/settle.go
+++ b/internal/remote/settle.go
@@ -41,9 +41,9 @@
 	req := r.requestFor(a.Host, a.HostSince)
 	switch {
 	case !a.Exited():
-		req.Attempts = append(req.Attempts, message(a.Key))
+		req.Attempts = append(req.Attempts, messageOf(a.Key))
 	case recorded:
-		req.Handled = append(req.Handled, message(a.Key))
+		req.Handled = append(req.Handled, messageOf(a.Key))
 	}
 }
 
@@ -79,7 +79,7 @@
 // zero value is ready to use.
 type DeniedAttempts struct{ since map[fleet.Key]time.Time }
 
-// Deny bars an attempt.
+// Deny adds an attempt: the host must not take it any more.
 func (d *DeniedAttempts) Deny(key fleet.Key, now time.Time) {
 	if d.since == nil {
 		d.since = map[fleet.Key]time.Time{}
@@ -87,7 +87,7 @@
 	d.since[key] = now
 }
 
-// Denied tells whether an attempt is barred.
+// Denied tells whether an attempt was denied.
 func (d *DeniedAttempts) Denied(key fleet.Key) bool { return !d.since[key].IsZero() }
 
 // Expire forgets the attempts that were denied long ago.
