--- a/internal/packing/packer.go
+++ b/internal/packing/packer.go
@@ -8,9 +8,10 @@
 	"heronwick/internal/queue"
 )
 
-// Fleet is what a Packer needs of the scheduler that it belongs to.
-type Fleet interface {
-	// Machines yields all machines, in no order.
+// Scheduler is what a Packer needs of the scheduler that it belongs to. It is called
+// with the scheduler's lock held.
+type Scheduler interface {
+	// Machines yields all machines of the scheduler, in no order.
 	Machines() iter.Seq[*Machine]
 	// AnyMachine tells whether condition holds for any machine. It is called for
 	// each task that is placed, where an iterator's allocations would show.
@@ -24,13 +25,13 @@
 // Packer finds machines for tasks.
 type Packer struct {
 	// Open are the machines with tasks, the most recently used first.
-	Open  placement.List[*Machine]
-	fleet Fleet
-	pass  pass
+	Open      placement.List[*Machine]
+	scheduler Scheduler
+	pass      pass
 }
 
-// New returns a Packer for the machines of a fleet, none of them open.
-func New(fleet Fleet) *Packer { return &Packer{fleet: fleet} }
+// New returns a Packer for the machines of scheduler, none of them open.
+func New(scheduler Scheduler) *Packer { return &Packer{scheduler: scheduler} }
 
 // Fits tells whether the next task of the job may go to the machine and finds
 // room there beside what is reserved for others.
@@ -50,7 +51,7 @@
 	if queued.Avoids(m.Name) {
 		return false
 	}
-	return m.Attempts.Len() < p.fleet.MaxAttempts()
+	return m.Attempts.Len() < p.scheduler.MaxAttempts()
 }
 
 // fits returns Fits for one job, to walk the machines with.
@@ -121,7 +122,7 @@
 func (p *Packer) Idle(queued *queue.Job, now time.Time) *Machine {
 	var first *Machine
 	for _, m := range p.idleMachines(now) {
-		if p.Open.Has(m) || !p.fleet.Owns(m) || !p.Fits(queued, m, now) {
+		if p.Open.Has(m) || !p.scheduler.Owns(m) || !p.Fits(queued, m, now) {
 			continue
 		}
 		if m.HasImage(queued.Record.Job.Image) {
--- a/internal/packing/pass.go
+++ b/internal/packing/pass.go
@@ -83,7 +83,7 @@
 		p.observe(m, now)
 		return m.usable && size.Within(m.free)
 	}
-	if p.fleet.AnyMachine(hasRoom) {
+	if p.scheduler.AnyMachine(hasRoom) {
 		return false
 	}
 	p.pass.lacks[size] = true
@@ -109,7 +109,7 @@
 		return p.pass.idle
 	}
 	p.pass.idle = []*Machine{}
-	for m := range p.fleet.Machines() {
+	for m := range p.scheduler.Machines() {
 		if p.Open.Has(m) {
 			continue
 		}
--- a/internal/packing/reservations.go
+++ b/internal/packing/reservations.go
@@ -71,7 +71,7 @@
 		return p.pass.reserved
 	}
 	p.pass.reserved = map[string]int{}
-	for m := range p.fleet.Machines() {
+	for m := range p.scheduler.Machines() {
 		for _, r := range m.reservations {
 			if now.Before(r.until) {
 				p.pass.reserved[r.job]++
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -26,32 +26,49 @@
 		m, adopting = s.joinLocked(heartbeat, now)
 	}
 	reply := &wire.HeartbeatReply{FencingToken: token, Commands: []wire.Command{}}
-	if m == nil {
-		if !adopting || s.unknownTasksTooLongLocked(heartbeat, now) {
-			// Answering a machine that is another's would renew a lease that
-			// its owner counts as expired.
-			return nil
-		}
-		s.answeredUnadopted[heartbeat.Machine] = now
-		reply.Commands = s.stopEndedJobsLocked(heartbeat)
-		return reply // it keeps its lease while its machine is being adopted
+	switch {
+	case m != nil:
+		return s.replyLocked(m, heartbeat, reply, now)
+	case adopting:
+		return s.replyUnadoptedLocked(heartbeat, reply, now)
+	default:
+		// Answering a machine that is another's would renew a lease that its owner
+		// counts as expired.
+		return nil
 	}
+}
+
+// replyLocked takes a heartbeat of one of the scheduler's machines and completes the
+// reply with what the worker is commanded. It returns nil if the worker's lease must
+// expire.
+func (s *Scheduler) replyLocked(m *machine, heartbeat *wire.Heartbeat, reply *wire.HeartbeatReply, now time.Time) *wire.HeartbeatReply {
 	fresh := s.applyLocked(m, heartbeat)
 	if s.unknownTasksTooLongLocked(heartbeat, now) {
 		return nil
 	}
 	m.LastReply = now
 	m.NoteUnsolicited(heartbeat, fresh, now)
-	if !fresh {
-		// Late or repeated: its reply will be dropped, and must not carry
-		// commands meant for the worker as it is now. Or the worker has
-		// started anew and counts from the beginning: a probe shows which.
-		if !m.ProbedLately(now) {
-			s.probeLocked(m, now)
-		}
+	if fresh {
+		reply.Commands = append(reply.Commands, m.Reply()...)
 		return reply
 	}
-	reply.Commands = append(reply.Commands, m.Reply()...)
+	// Late or repeated: its reply will be dropped, and must not carry commands meant
+	// for the worker as it is now. Or the worker has started anew and counts from the
+	// beginning: a probe shows which.
+	if !m.ProbedLately(now) {
+		s.probeLocked(m, now)
+	}
+	return reply
+}
+
+// replyUnadoptedLocked completes the reply to a worker whose machine is being adopted:
+// it keeps its lease meanwhile. It returns nil if the lease must expire.
+func (s *Scheduler) replyUnadoptedLocked(heartbeat *wire.Heartbeat, reply *wire.HeartbeatReply, now time.Time) *wire.HeartbeatReply {
+	if s.unknownTasksTooLongLocked(heartbeat, now) {
+		return nil
+	}
+	s.answeredUnadopted[heartbeat.Machine] = now
+	reply.Commands = s.stopEndedJobsLocked(heartbeat)
 	return reply
 }
 
--- a/internal/scheduler/packing.go
+++ b/internal/scheduler/packing.go
@@ -6,13 +6,13 @@
 	"heronwick/internal/packing"
 )
 
-// packingFleet is what the Packer sees of the scheduler.
-type packingFleet struct{ *Scheduler }
+// packingScheduler is what the Packer sees of the scheduler.
+type packingScheduler struct{ *Scheduler }
 
-// Machines implements packing.Fleet.
-func (f packingFleet) Machines() iter.Seq[*packing.Machine] {
+// Machines implements packing.Scheduler.
+func (s packingScheduler) Machines() iter.Seq[*packing.Machine] {
 	return func(yield func(*packing.Machine) bool) {
-		for _, m := range f.machines {
+		for _, m := range s.machines {
 			if !yield(m.packing) {
 				return
 			}
@@ -20,9 +20,9 @@
 	}
 }
 
-// AnyMachine implements packing.Fleet.
-func (f packingFleet) AnyMachine(condition func(*packing.Machine) bool) bool {
-	for _, m := range f.machines {
+// AnyMachine implements packing.Scheduler.
+func (s packingScheduler) AnyMachine(condition func(*packing.Machine) bool) bool {
+	for _, m := range s.machines {
 		if condition(m.packing) {
 			return true
 		}
@@ -30,11 +30,11 @@
 	return false
 }
 
-// Owns implements packing.Fleet.
-func (f packingFleet) Owns(p *packing.Machine) bool {
-	m := f.machines[p.Name]
+// Owns implements packing.Scheduler.
+func (s packingScheduler) Owns(p *packing.Machine) bool {
+	m := s.machines[p.Name]
 	return m != nil && m.packing == p
 }
 
-// MaxAttempts implements packing.Fleet.
-func (f packingFleet) MaxAttempts() int { return f.valueLimit.MaxAttempts() }
+// MaxAttempts implements packing.Scheduler.
+func (s packingScheduler) MaxAttempts() int { return s.valueLimit.MaxAttempts() }
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -109,7 +109,8 @@
 // fetched.
 const imageWaitTimeout = 300 * time.Millisecond
 
-// awaitImageLocked tells whether the other schedulers are still to be asked.
+// awaitImageLocked tells whether the other schedulers may still answer that they have
+// room beside the job's image.
 func (s *Scheduler) awaitImageLocked(queued *queue.Job, now time.Time) bool {
 	if queued.Record.Job.Kind != wire.KindService || len(s.epoch.Members) < 2 {
 		return false
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -117,7 +117,7 @@
 	})
 	s.probeRate = probeRate(opts.Settings.CoreShare)
 	s.tokenSync.rate = tokenRequestRate(opts.Settings.CoreShare)
-	s.packer = packing.New(packingFleet{s})
+	s.packer = packing.New(packingScheduler{s})
 	s.planner = &autoscale.Planner{Types: s.types, Inventory: s.inventory}
 	s.valueLimit = checkpoint.NewValueLimit(opts.Settings, opts.Log)
 	s.checkpoints = s.newCheckpointWriter()
