--- a/internal/remote/settle.go
+++ b/internal/remote/settle.go
@@ -1,21 +1,11 @@
 package remote
 
-import (
-	"time"
+import "heronwick/internal/cluster/peerpb"
 
-	"heronwick/internal/cluster/peerpb"
-	"heronwick/internal/fleet"
-)
-
-const (
-	// maxSettled bounds the attempts of one settle request: all of a large
-	// fleet in one would exceed what gRPC takes as a message, and hold the
-	// host's lock for long.
-	maxSettled = 8192
-	// deniedMemory is for how long a denied attempt cannot be taken; no
-	// placement request is in flight for longer, and none survives its epoch.
-	deniedMemory = 10 * time.Minute
-)
+// maxSettled bounds the attempts of one settle request: all of a large
+// fleet in one would exceed what gRPC takes as a message, and hold the
+// host's lock for long.
+const maxSettled = 8192
 
 // SettleRequests are the requests by which a controller asks the hosts of its
 // remote attempts what became of them, as many for each host as it takes.
@@ -73,28 +63,3 @@
 	}
 	return numbers
 }
-
-// DeniedAttempts are the attempts that a host has said not to have: a
-// placement request that is still in flight must not bring them later. The
-// zero value is ready to use.
-type DeniedAttempts struct{ since map[fleet.Key]time.Time }
-
-// Deny adds an attempt: the host must not take it any more.
-func (d *DeniedAttempts) Deny(key fleet.Key, now time.Time) {
-	if d.since == nil {
-		d.since = map[fleet.Key]time.Time{}
-	}
-	d.since[key] = now
-}
-
-// Denied tells whether an attempt was denied.
-func (d *DeniedAttempts) Denied(key fleet.Key) bool { return !d.since[key].IsZero() }
-
-// Expire forgets the attempts that were denied long ago.
-func (d *DeniedAttempts) Expire(now time.Time) {
-	for key, at := range d.since {
-		if now.Sub(at) > deniedMemory {
-			delete(d.since, key)
-		}
-	}
-}
--- a/internal/remote/requests.go
+++ b/internal/remote/throttle.go
@@ -1,11 +1,6 @@
 package remote
 
-import (
-	"sync"
-	"time"
-
-	"heronwick/internal/cluster/peerpb"
-)
+import "time"
 
 const (
 	// RetryAfter is how soon a peer without room gets another placement request.
@@ -76,37 +71,3 @@
 		p.next, p.nextUrgent = now.Add(retryProgressAfter), now
 	}
 }
-
-// RequestHistory remembers, by peer, the newest attempt that a placement
-// request has named, however it was answered and whether a scheduler was
-// running: what was refused is placed elsewhere, and a late copy must not be
-// taken then (ran_twice). It lasts as long as the process; requests to an
-// earlier incarnation are from before this one's membership. Its zero value
-// is ready to use and it is safe for concurrent use.
-type RequestHistory struct {
-	mu     sync.Mutex
-	newest map[string]uint64 // by peer, the newest attempt that it has requested
-}
-
-// Accept tells whether a request is no late copy: all attempts that it names
-// must be newer than those of the peer's requests before, since their numbers
-// rise and the peer requests each once. An accepted request is remembered.
-func (h *RequestHistory) Accept(req *peerpb.PlaceRequest) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	before := h.newest[req.Node]
-	newest := before
-	for _, wanted := range req.Wanted {
-		for _, at := range wanted.Attempts {
-			if at.Attempt <= before {
-				return false
-			}
-			newest = max(newest, at.Attempt)
-		}
-	}
-	if h.newest == nil {
-		h.newest = map[string]uint64{}
-	}
-	h.newest[req.Node] = newest
-	return true
-}
