--- a/internal/scheduler/settle.go
+++ b/internal/scheduler/settle.go
@@ -1,7 +1,7 @@
 package scheduler
 
 // Settling: the owner of a job asks the hosts of its remote attempts what became
-// of them. hosting.go answers. See package remote.
+// of them. hostedattempts.go answers. See package remote.
 
 import (
 	"context"
@@ -40,7 +40,8 @@
 		}
 		s.followHostLocked(a)
 		if a.Host != s.opts.Node {
-			requests.Add(a, a.Handled || s.jobs[a.Job] == nil)
+			recorded := a.Handled || s.jobs[a.Job] == nil
+			requests.Add(a, recorded)
 		} else if s.loaded && s.adoptedToken == s.epoch.Token {
 			// Its machine was taken over here, without it.
 			s.forgetRemoteLocked(a)
