--- a/cmd/heronwick/duties.go
+++ b/cmd/heronwick/duties.go
@@ -35,15 +35,15 @@
 		Log:         c.log,
 	})
 	d.actions = duty.NewActions(duty.ActionsOptions{
-		Node:       c.settings.Node,
-		Provider:   c.external.cloud,
-		Keeper:     d.keeper,
-		Ledger:     d.ledger,
-		Committer:  c.committer,
-		Membership: c.dutyMembership,
-		ValueBytes: c.settings.MaxValueBytes,
-		History:    d.history,
-		Log:        c.log,
+		Node:          c.settings.Node,
+		Provider:      c.external.cloud,
+		Keeper:        d.keeper,
+		Ledger:        d.ledger,
+		Committer:     c.committer,
+		Membership:    c.dutyMembership,
+		MaxValueBytes: c.settings.MaxValueBytes,
+		History:       d.history,
+		Log:           c.log,
 	})
 	return d
 }
--- a/internal/duty/rentals.go
+++ b/internal/duty/rentals.go
@@ -39,7 +39,7 @@
 	if guard.unfenced || len(requests) == 0 {
 		return OpenRental{Requests: requests}, nil
 	}
-	requests = requestsThatFit(requests, a.opts.ValueBytes)
+	requests = requestsThatFit(requests, a.opts.MaxValueBytes)
 	began := time.Now()
 	key := a.newIntentKey(rentalPrefix)
 	if err := a.recordIntent(ctx, guard, fence, state.Placement, key, rentalRecord{Token: guard.token, Requests: requests}); err != nil {
--- a/internal/duty/returns.go
+++ b/internal/duty/returns.go
@@ -19,7 +19,7 @@
 
 // MaxReturnMachines returns how many of the machines fit one intent to return.
 func (a *Actions) MaxReturnMachines(machines []string) int {
-	return state.NamesThatFit(machines, returnRecordOverhead, nameSyntax, a.opts.ValueBytes)
+	return state.NamesThatFit(machines, returnRecordOverhead, nameSyntax, a.opts.MaxValueBytes)
 }
 
 // HasReturnIntent tells whether an open intent of any controller returns a machine: no
--- a/internal/failovertest/node.go
+++ b/internal/failovertest/node.go
@@ -85,7 +85,7 @@
 	})
 	n.actions = duty.NewActions(duty.ActionsOptions{
 		Node: opts.Name, Provider: opts.Provider, Keeper: n.keeper, Ledger: n.ledger,
-		Committer: state.NewCommitter(n.client, maxChanges), Membership: n.membership, ValueBytes: valueBytes, History: history, Log: opts.Log,
+		Committer: state.NewCommitter(n.client, maxChanges), Membership: n.membership, MaxValueBytes: valueBytes, History: history, Log: opts.Log,
 	})
 	return n
 }
