--- a/cmd/heronwick/membership.go
+++ b/cmd/heronwick/membership.go
@@ -24,7 +24,7 @@
 		Node:          c.settings.Node,
 		Client:        c.client,
 		Teams:         teams,
-		MaxValue:      c.settings.MaxValueBytes,
+		MaxValueBytes: c.settings.MaxValueBytes,
 		Route:         c.transport,
 		Peers:         peers,
 		LeaseDuration: c.settings.LeaseDuration,
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -95,9 +95,9 @@
 	for node := range c.opts.Peers {
 		nodes = append(nodes, node)
 	}
-	if size := largestEpoch(nodes, c.opts.Teams); c.opts.MaxValue > 0 && size > c.opts.MaxValue {
+	if size := largestEpoch(nodes, c.opts.Teams); c.opts.MaxValueBytes > 0 && size > c.opts.MaxValueBytes {
 		c.opts.Log.Warn("the epoch does not fit a value of the state service: no leader can be elected. Fewer teams, shorter names or larger values are needed",
-			"bytes", size, "limit", c.opts.MaxValue, "teams", len(c.opts.Teams))
+			"bytes", size, "limit", c.opts.MaxValueBytes, "teams", len(c.opts.Teams))
 	}
 }
 
--- a/internal/cluster/options.go
+++ b/internal/cluster/options.go
@@ -20,8 +20,8 @@
 
 	// Teams are all configured teams.
 	Teams []string
-	// MaxValue is how many bytes a value of the store may have; 0: unknown.
-	MaxValue int
+	// MaxValueBytes is how many bytes a value of the store may have; 0: unknown.
+	MaxValueBytes int
 	// LeaseDuration is the workers' lease. The confirmation TTL, for which heartbeats
 	// are answered without a new confirmation of the epoch, is at most a quarter
 	// of it.
