--- a/cmd/heronwick/controller.go
+++ b/cmd/heronwick/controller.go
@@ -75,7 +75,7 @@
 	c.jobs = job.NewStore(job.Options{
 		Client:              c.client,
 		Committer:           c.committer,
-		MaxValue:            settings.MaxValueBytes,
+		MaxValueBytes:       settings.MaxValueBytes,
 		AcceptsDependencies: func() bool { return c.members.Supports(cluster.LevelDependencies) },
 		Log:                 log,
 	})
--- a/internal/job/store.go
+++ b/internal/job/store.go
@@ -83,8 +83,8 @@
 type Options struct {
 	Client    *state.Client
 	Committer *state.Committer
-	// MaxValue is how many bytes a value of the key-value store may have.
-	MaxValue int
+	// MaxValueBytes is how many bytes a value of the key-value store may have.
+	MaxValueBytes int
 	// AcceptsDependencies reports whether jobs with dependencies may be accepted.
 	AcceptsDependencies func() bool
 	Log                 *slog.Logger
@@ -95,7 +95,7 @@
 	return &Store{
 		client:              opts.Client,
 		committer:           opts.Committer,
-		maxValue:            opts.MaxValue,
+		maxValue:            opts.MaxValueBytes,
 		acceptsDependencies: opts.AcceptsDependencies,
 		log:                 opts.Log,
 		loaded:              make(chan struct{}),
