--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -22,10 +22,10 @@
 	// Requests counts the requests that reached the store; Writes the changes of the
 	// transactions that it carried out or refused as too large.
 	Requests, Writes int
-	// RequestRate and WriteRPS are the limits of requests and of changes a second, with bursts of a
+	// RequestRate and WriteRate are the limits of requests and of changes a second, with bursts of a
 	// second's worth; RequestRate 0: none. Refused counts the requests above them.
-	RequestRate, WriteRPS float64
-	Refused               int
+	RequestRate, WriteRate float64
+	Refused                int
 	// ValueBytes and Ops are the limits of a value's size and of a transaction's changes;
 	// 0: none. TooLarge counts the transactions above them.
 	ValueBytes, Ops int
