--- a/internal/standin/state_limits.go
+++ b/internal/standin/state_limits.go
@@ -37,7 +37,7 @@
 	if s.Ops > 0 && (len(txn.Then) > s.Ops || len(txn.If) > conditionsPerOp*s.Ops || len(encode(txn)) > maxTxnBytes) {
 		return true
 	}
-	return s.ValueBytes > 0 && slices.ContainsFunc(txn.Then, func(c wire.Change) bool { return len(c.Value) > s.ValueBytes })
+	return s.MaxValueBytes > 0 && slices.ContainsFunc(txn.Then, func(c wire.Change) bool { return len(c.Value) > s.MaxValueBytes })
 }
 
 // LargestValue returns the key of the largest value and its size in bytes.
