--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -26,10 +26,10 @@
 	// second's worth; RequestRate 0: none. Refused counts the requests above them.
 	RequestRate, WriteRate float64
 	Refused                int
-	// MaxValueBytes and Ops are the limits of a value's size and of a transaction's changes;
+	// MaxValueBytes and MaxTxnOps are the limits of a value's size and of a transaction's changes;
 	// 0: none. TooLarge counts the transactions above them.
-	MaxValueBytes, Ops int
-	TooLarge           int
+	MaxValueBytes, MaxTxnOps int
+	TooLarge                 int
 
 	mu        sync.Mutex
 	revision  uint64
--- a/internal/standin/state_faults.go
+++ b/internal/standin/state_faults.go
@@ -10,7 +10,7 @@
 func (s *State) LowerLimits(valueBytes, ops int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.MaxValueBytes, s.Ops, s.TooLarge = valueBytes, ops, 0
+	s.MaxValueBytes, s.MaxTxnOps, s.TooLarge = valueBytes, ops, 0
 }
 
 // SetOutage starts or ends an outage, in which requests are answered 503, watches stay open
