--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -11,18 +11,18 @@
 
 // The least values with which a controller can work.
 const (
-	minInterval       = 0.01 // seconds
-	minCloudRPS       = 0.01
-	minCoreShare      = 0.001
-	minMemoryMB       = 16
-	minMaxConnections = 32
+	minInterval         = 0.01 // seconds
+	minCloudRequestRate = 0.01
+	minCoreShare        = 0.001
+	minMemoryMB         = 16
+	minMaxConnections   = 32
 )
 
 // The least limits of the key-value store that the records can be kept within.
 const (
-	minStateRPS = 0.1
-	minValueKB  = 1
-	minTxnOps   = 4
+	minStateRequestRate = 0.1
+	minValueKB          = 1
+	minTxnOps           = 4
 )
 
 // Load reads and checks the settings file at path. The error joins a *KeyError
@@ -78,7 +78,7 @@
 }
 
 func (s *Settings) setCloudLimits(c *checker, f *fileCloud) {
-	s.CloudRequestRate = c.number("cluster.cloud.rps", f.RPS, minCloudRPS)
+	s.CloudRequestRate = c.number("cluster.cloud.rps", f.RPS, minCloudRequestRate)
 	s.CloudListLag = c.seconds("cluster.cloud.list_lag_s", f.ListLagS, 0)
 }
 
@@ -94,17 +94,17 @@
 // come into force.
 func (s *Settings) setStateLimits(c *checker, f *fileState) {
 	const key, nextKey = "cluster.state.", "cluster.state.next."
-	s.StateRequestRate = c.number(key+"rps", f.RPS, minStateRPS)
-	s.StateWriteRate = c.number(key+"write_rps", f.WriteRPS, minStateRPS)
+	s.StateRequestRate = c.number(key+"rps", f.RPS, minStateRequestRate)
+	s.StateWriteRate = c.number(key+"write_rps", f.WriteRPS, minStateRequestRate)
 	valueKB := c.number(key+"value_kb", f.ValueKB, minValueKB)
 	s.MaxTxnOps = int(c.integer(key+"txn_ops", f.TxnOps, minTxnOps))
 
 	next := &f.Next
 	if next.RPS != nil {
-		s.StateRequestRate = min(s.StateRequestRate, c.number(nextKey+"rps", next.RPS, minStateRPS))
+		s.StateRequestRate = min(s.StateRequestRate, c.number(nextKey+"rps", next.RPS, minStateRequestRate))
 	}
 	if next.WriteRPS != nil {
-		s.StateWriteRate = min(s.StateWriteRate, c.number(nextKey+"write_rps", next.WriteRPS, minStateRPS))
+		s.StateWriteRate = min(s.StateWriteRate, c.number(nextKey+"write_rps", next.WriteRPS, minStateRequestRate))
 	}
 	if next.ValueKB != nil {
 		valueKB = min(valueKB, c.number(nextKey+"value_kb", next.ValueKB, minValueKB))
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -17,8 +17,8 @@
 	Objectives []Objective
 
 	HeartbeatInterval time.Duration // how often a worker sends a heartbeat
-	LeaseDuration     time.Duration // how long a worker lives on its last answered heartbeat
-	CancelTimeout     time.Duration // by when a cancelled job's tasks must be gone
+	LeaseDuration     time.Duration // how long a worker's lease lasts without a renewal
+	CancelTimeout     time.Duration // within which a cancelled job's tasks must be gone
 
 	// The limits of the key-value store: the lower of those that hold now and of
 	// those that are announced, which come into force at any moment without notice.
@@ -58,8 +58,8 @@
 	GPUsMax float64
 }
 
-// Objective is what the users expect: that a fraction of what is measured takes
-// no longer than a duration.
+// Objective is a service level that the users expect: that a fraction of what is
+// measured takes no longer than a duration.
 type Objective struct {
 	Kind     string // what is measured, for example "finished" or "wait"
 	Class    string // of the jobs that it is measured on; empty: all
