--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -22,12 +22,13 @@
 	// Requests counts the requests that reached the store; Writes the changes of the
 	// transactions that it carried out or refused as too large.
 	Requests, Writes int
-	// RequestRate and WriteRate are the limits of requests and of changes a second, with bursts of a
-	// second's worth; RequestRate 0: none. Refused counts the requests above them.
+	// RequestRate and WriteRate are the limits of requests and of changes a second, with
+	// bursts of a second's worth; RequestRate 0: none. Refused counts the requests above
+	// them.
 	RequestRate, WriteRate float64
 	Refused                int
-	// MaxValueBytes and MaxTxnOps are the limits of a value's size and of a transaction's changes;
-	// 0: none. TooLarge counts the transactions above them.
+	// MaxValueBytes and MaxTxnOps are the limits of a value's size and of a transaction's
+	// changes; 0: none. TooLarge counts the transactions above them.
 	MaxValueBytes, MaxTxnOps int
 	TooLarge                 int
 
--- a/internal/standin/state_limits.go
+++ b/internal/standin/state_limits.go
@@ -7,9 +7,9 @@
 	"heronwick/wire"
 )
 
-// Limits of a transaction besides State.Ops, which applies to its changes.
+// Limits of a transaction besides State.MaxTxnOps, which applies to its changes.
 const (
-	conditionsPerOp = 4        // conditions, as a multiple of State.Ops
+	conditionsPerOp = 4        // conditions, as a multiple of State.MaxTxnOps
 	maxTxnBytes     = 64 << 10 // of the encoded transaction
 )
 
