--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -37,8 +37,8 @@
 	Ended func(task string)
 	// Fails, if set, tells whether a job's tasks fail on a machine.
 	Fails func(job, machine string) bool
-	// Report delivers a heartbeat to a controller.
-	Report func(node string, heartbeat *wire.Heartbeat) HeartbeatResponse
+	// DeliverHeartbeat delivers a worker's heartbeat to a controller.
+	DeliverHeartbeat func(node string, heartbeat *wire.Heartbeat) HeartbeatResponse
 	// Nodes are the controllers' names, to which heartbeats are sent.
 	Nodes []string
 	// Checker sees what runs; Start makes one if there is none.
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -32,7 +32,7 @@
 	return blocked
 }
 
-// Command sends commands to a worker and returns its report after them.
+// Command sends commands to a worker and returns its status after them, as a heartbeat.
 func (l *Link) Command(ctx context.Context, address string, req *wire.CommandRequest) (*wire.Heartbeat, error) {
 	l.fleet.Checker.ObserveCommands(req.Commands)
 	if l.blocked(ctx, address) {
@@ -41,7 +41,7 @@
 	return l.fleet.command(ctx, address, req)
 }
 
-// Status requests a worker's report.
+// Status requests a worker's status, as a heartbeat.
 func (l *Link) Status(ctx context.Context, address string) (*wire.Heartbeat, error) {
 	if l.blocked(ctx, address) {
 		return nil, errNoAnswer
@@ -71,10 +71,10 @@
 	defer f.mu.Unlock()
 	w.commandLocked(req)
 	w.sequence++
-	return w.reportLocked(), nil
+	return w.heartbeatLocked(), nil
 }
 
-// status returns a worker's report.
+// status returns a worker's status, as a heartbeat.
 func (f *Fleet) status(ctx context.Context, address string) (*wire.Heartbeat, error) {
 	wait.Sleep(ctx, 2*f.messageDelay(address))
 	f.mu.Lock()
@@ -86,5 +86,5 @@
 	}
 	defer f.mu.Unlock()
 	w.sequence++
-	return w.reportLocked(), nil
+	return w.heartbeatLocked(), nil
 }
