--- a/internal/remote/attempts.go
+++ b/internal/remote/attempts.go
@@ -41,8 +41,8 @@
 func (r *Attempts) All() iter.Seq[*Attempt] { return maps.Values(r.byKey) }
 
 // KeyOf returns the key of an attempt that a message names.
-func KeyOf(at *peerpb.Attempt) fleet.Key {
-	return fleet.Key{Task: at.Task, Attempt: at.Attempt}
+func KeyOf(attempt *peerpb.Attempt) fleet.Key {
+	return fleet.Key{Task: attempt.Task, Attempt: attempt.Attempt}
 }
 
 // messageOf returns what names an attempt in a message.
--- a/internal/remote/settle.go
+++ b/internal/remote/settle.go
@@ -55,11 +55,11 @@
 // names. Only the tasks of a gang share a number.
 func AttemptNumbers(req *peerpb.SettleRequest) map[uint64]bool {
 	numbers := make(map[uint64]bool, len(req.Attempts)+len(req.Handled))
-	for _, at := range req.Attempts {
-		numbers[at.Attempt] = true
+	for _, attempt := range req.Attempts {
+		numbers[attempt.Attempt] = true
 	}
-	for _, at := range req.Handled {
-		numbers[at.Attempt] = true
+	for _, attempt := range req.Handled {
+		numbers[attempt.Attempt] = true
 	}
 	return numbers
 }
--- a/internal/scheduler/adoption.go
+++ b/internal/scheduler/adoption.go
@@ -115,23 +115,26 @@
 }
 
 // trackRecordLocked tracks what another's machine may hold of own jobs.
-func (s *Scheduler) trackRecordLocked(adopting *adoption, fm *fleet.Machine, host string) {
-	for _, a := range fm.Attempts.All() {
+func (s *Scheduler) trackRecordLocked(adopting *adoption, fleetMachine *fleet.Machine, host string) {
+	for _, a := range fleetMachine.Attempts.All() {
 		if outcome, over := adopting.outcomes[a.Job]; over && s.epoch.OwnerOf(outcome.Team, a.Job) == s.opts.Node {
 			a.Team, a.Size, a.Sized = outcome.Team, sizeOf(outcome), true
-			s.trackRemoteLocked(a, host, fm.Zone)
+			s.trackRemoteLocked(a, host, fleetMachine.Zone)
 		} else if queued := s.jobs[a.Job]; queued != nil && adopting.gained[a.Job] {
 			a.Describe(&queued.Record.Job, queued.EffectivePriority)
-			s.trackRemoteLocked(a, host, fm.Zone)
+			s.trackRemoteLocked(a, host, fleetMachine.Zone)
 		}
 	}
 }
 
 // adoptMachineLocked takes a machine with what the records say may be on it.
-// buckets hold those: the first is its own from now on.
-func (s *Scheduler) adoptMachineLocked(fm *fleet.Machine, buckets []*checkpoint.Bucket, outcomes map[string]job.Outcome, now time.Time) {
-	answered := s.answeredUnadopted[fm.Name]
-	m := s.addMachineLocked(fm, now)
+// buckets hold those: the first is its own from now on. outcomes are those of the jobs
+// that are over.
+func (s *Scheduler) adoptMachineLocked(
+	adopted *fleet.Machine, buckets []*checkpoint.Bucket, outcomes map[string]job.Outcome, now time.Time,
+) {
+	answered := s.answeredUnadopted[adopted.Name]
+	m := s.addMachineLocked(adopted, now)
 	m.LastReply = answered
 	s.checkpoints.AdoptMachine(&m.record, buckets)
 	over := map[string]job.Outcome{}
--- a/internal/scheduler/hostedattempts.go
+++ b/internal/scheduler/hostedattempts.go
@@ -44,13 +44,13 @@
 	reply.Ready = true
 	now := time.Now()
 	here := s.hostedAttemptsLocked(req)
-	for _, at := range req.Handled {
-		if h := here[remote.KeyOf(at)]; h.attempt != nil && h.attempt.Exited() {
-			h.attempt.Handled = true
+	for _, attempt := range req.Handled {
+		if found := here[remote.KeyOf(attempt)]; found.attempt != nil && found.attempt.Exited() {
+			found.attempt.Handled = true
 		}
 	}
-	for _, at := range req.Attempts {
-		reply.Hosted = append(reply.Hosted, s.settledLocked(at, here, now))
+	for _, attempt := range req.Attempts {
+		reply.Hosted = append(reply.Hosted, s.settledLocked(attempt, here, now))
 	}
 	s.deniedAttempts.Expire(now)
 	return reply
@@ -65,14 +65,14 @@
 
 // settledLocked answers what became of an attempt, and denies it for good if it is
 // not here.
-func (s *Scheduler) settledLocked(at *peerpb.Attempt, here map[fleet.Key]hostedAttempt, now time.Time) *peerpb.Hosted {
-	key := remote.KeyOf(at)
+func (s *Scheduler) settledLocked(attempt *peerpb.Attempt, here map[fleet.Key]hostedAttempt, now time.Time) *peerpb.Hosted {
+	key := remote.KeyOf(attempt)
 	found := here[key]
 	if found.attempt == nil {
 		s.deniedAttempts.Deny(key, now)
-		return &peerpb.Hosted{Attempt: at}
+		return &peerpb.Hosted{Attempt: attempt}
 	}
-	return &peerpb.Hosted{Attempt: at, Known: true, Zone: found.machine.Zone,
+	return &peerpb.Hosted{Attempt: attempt, Known: true, Zone: found.machine.Zone,
 		State: string(found.attempt.State), Why: string(found.attempt.Why)}
 }
 
--- a/internal/scheduler/hosting.go
+++ b/internal/scheduler/hosting.go
@@ -70,12 +70,12 @@
 		return
 	}
 	r := &jobRequest{from: from, overloaded: overloaded, record: record, job: s.hostedJobLocked(record, wanted), wanted: wanted}
-	for _, at := range wanted.Attempts {
-		_, index, ok := wire.SplitTaskID(at.Task)
-		if !ok || s.deniedAttempts.Denied(remote.KeyOf(at)) {
+	for _, attempt := range wanted.Attempts {
+		_, index, ok := wire.SplitTaskID(attempt.Task)
+		if !ok || s.deniedAttempts.Denied(remote.KeyOf(attempt)) {
 			continue
 		}
-		if !s.hostNextLocked(r, at, index, reply, now) {
+		if !s.hostNextLocked(r, attempt, index, reply, now) {
 			break
 		}
 	}
@@ -103,7 +103,7 @@
 
 // hostNextLocked places the next attempt that is requested, or hands over
 // machines for it. It returns false if the others need not be tried.
-func (s *Scheduler) hostNextLocked(r *jobRequest, at *peerpb.Attempt, index int, reply *peerpb.PlaceReply, now time.Time) bool {
+func (s *Scheduler) hostNextLocked(r *jobRequest, attempt *peerpb.Attempt, index int, reply *peerpb.PlaceReply, now time.Time) bool {
 	if r.record.Job.Kind == wire.KindGang {
 		s.handOverForGangLocked(r, reply, now)
 		return false
@@ -118,8 +118,8 @@
 		reply.Given += uint32(s.handOverForLocked(r.job, m, r.from, r.pending(), now))
 		return false
 	}
-	s.hostLocked(r, at, index, m, now)
-	reply.Taken = append(reply.Taken, &peerpb.Hosted{Attempt: at, Zone: m.Zone, Known: true})
+	s.hostLocked(r, attempt, index, m, now)
+	reply.Taken = append(reply.Taken, &peerpb.Hosted{Attempt: attempt, Zone: m.Zone, Known: true})
 	return true
 }
 
@@ -150,9 +150,9 @@
 }
 
 // hostLocked books an attempt of another controller's job on a machine.
-func (s *Scheduler) hostLocked(r *jobRequest, at *peerpb.Attempt, index int, m *machine, now time.Time) {
+func (s *Scheduler) hostLocked(r *jobRequest, attempt *peerpb.Attempt, index int, m *machine, now time.Time) {
 	id := r.wanted.Job
-	a := &fleet.Attempt{Key: remote.KeyOf(at), Job: id, Index: index, Hosted: true, Epoch: s.epoch.Token}
+	a := &fleet.Attempt{Key: remote.KeyOf(attempt), Job: id, Index: index, Hosted: true, Epoch: s.epoch.Token}
 	a.Describe(&r.record.Job, r.job.EffectivePriority)
 	m.Add(a, now)
 	m.packing.RoomChanged()
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -37,12 +37,12 @@
 }
 
 // addMachineLocked makes a machine one of the scheduler's.
-func (s *Scheduler) addMachineLocked(fm *fleet.Machine, now time.Time) *machine {
+func (s *Scheduler) addMachineLocked(fleetMachine *fleet.Machine, now time.Time) *machine {
 	m := &machine{
-		Worker: detector.NewWorker(fm, now), record: checkpoint.Machine{Machine: fm},
+		Worker: detector.NewWorker(fleetMachine, now), record: checkpoint.Machine{Machine: fleetMachine},
 		failedJobs: map[string]bool{}, idleSince: now,
 	}
-	m.packing = packing.NewMachine(fm, func(now time.Time) bool { return s.acceptsLocked(m, now) })
+	m.packing = packing.NewMachine(fleetMachine, func(now time.Time) bool { return s.acceptsLocked(m, now) })
 	m.Type = s.types[m.TypeName]
 	m.syncToken, m.fenceToken = s.epoch.Token, s.epoch.Token
 	m.returnIntent = s.opts.Actions.HasReturnIntent(m.Name)
--- a/internal/scheduler/remoteplacement.go
+++ b/internal/scheduler/remoteplacement.go
@@ -182,12 +182,12 @@
 	}
 	s.placeThrottle.End(node, placeOutcome(reply, err), time.Now())
 	taken := map[fleet.Key]*peerpb.Hosted{}
-	for _, h := range reply.GetTaken() {
-		taken[remote.KeyOf(h.Attempt)] = h
+	for _, hosted := range reply.GetTaken() {
+		taken[remote.KeyOf(hosted.Attempt)] = hosted
 	}
 	for _, wanted := range req.Wanted {
-		for _, at := range wanted.Attempts {
-			s.takePlacedAttemptLocked(node, wanted.Job, remote.KeyOf(at), taken, err)
+		for _, attempt := range wanted.Attempts {
+			s.takePlacedAttemptLocked(node, wanted.Job, remote.KeyOf(attempt), taken, err)
 		}
 	}
 	s.wakeLoop()
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -128,14 +128,14 @@
 // Run runs the scheduler until ctx ends, and returns the first error of its
 // goroutines.
 func (s *Scheduler) Run(ctx context.Context) error {
-	g, ctx := errgroup.WithContext(ctx)
-	s.ctx, s.group = ctx, g
+	group, ctx := errgroup.WithContext(ctx)
+	s.ctx, s.group = ctx, group
 	s.opts.Jobs.Listen(s)
 	defer s.opts.Jobs.Listen(nil)
-	g.Go(func() error { return s.loop(ctx) })
-	g.Go(func() error { return s.runCloud(ctx) })
-	g.Go(func() error { return s.runRemote(ctx) })
-	return g.Wait()
+	group.Go(func() error { return s.loop(ctx) })
+	group.Go(func() error { return s.runCloud(ctx) })
+	group.Go(func() error { return s.runRemote(ctx) })
+	return group.Wait()
 }
 
 // spawn starts work that belongs to the scheduler and ends with it.
--- a/internal/scheduler/settle.go
+++ b/internal/scheduler/settle.go
@@ -69,8 +69,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	for _, at := range req.Handled {
-		if a := s.remoteAttempts.Get(remote.KeyOf(at)); a != nil {
+	for _, attempt := range req.Handled {
+		if a := s.remoteAttempts.Get(remote.KeyOf(attempt)); a != nil {
 			s.forgetRemoteLocked(a)
 		}
 	}
