--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -15,12 +15,12 @@
 func (s *Scheduler) adoptAttemptLocked(m *machine, a *fleet.Attempt) {
 	queued := s.jobs[a.Job]
 	if queued == nil {
-		r := s.opts.Jobs.Active(a.Job)
-		if r == nil || s.ownsJobLocked(&r.Job) {
+		record := s.opts.Jobs.Active(a.Job)
+		if record == nil || s.ownsJobLocked(&record.Job) {
 			s.resolveJobLocked(a.Job)
 			return
 		}
-		a.Describe(&r.Job, s.effectivePriorityOf(r))
+		a.Describe(&record.Job, s.effectivePriorityOf(record))
 		a.Hosted = true
 		s.updateOpenLocked(m)
 		return
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -99,13 +99,13 @@
 // gainedJobsLocked returns the active jobs that are the scheduler's by an epoch and not
 // yet in its queue. Those that surely have no tasks yet are queued at once.
 func (s *Scheduler) gainedJobsLocked(epoch *cluster.Epoch) (gained []*job.Record) {
-	for _, r := range s.opts.Jobs.AllActive() {
+	for _, record := range s.opts.Jobs.AllActive() {
 		switch {
-		case epoch.OwnerOf(r.Job.Team, r.Job.ID) != s.opts.Node || s.jobs[r.Job.ID] != nil:
-		case epoch.Token == s.epoch.Token && s.acceptedInEpochLocked(r):
-			s.addJobLocked(r) // JobAdded is about to be called for it
+		case epoch.OwnerOf(record.Job.Team, record.Job.ID) != s.opts.Node || s.jobs[record.Job.ID] != nil:
+		case epoch.Token == s.epoch.Token && s.acceptedInEpochLocked(record):
+			s.addJobLocked(record) // JobAdded is about to be called for it
 		default:
-			gained = append(gained, r)
+			gained = append(gained, record)
 		}
 	}
 	return gained
@@ -114,8 +114,8 @@
 // acceptedInEpochLocked tells whether one of the scheduler's jobs was accepted under the
 // shard assignment that it goes by: nobody else can have placed tasks of it, so
 // the records need not be read for it.
-func (s *Scheduler) acceptedInEpochLocked(r *job.Record) bool {
-	return s.loaded && r.Version > s.epoch.assigned.Version
+func (s *Scheduler) acceptedInEpochLocked(record *job.Record) bool {
+	return s.loaded && record.Version > s.epoch.assigned.Version
 }
 
 // beginsToLeadLocked tells whether this controller leads the epoch, and did not
--- a/internal/scheduler/hosting.go
+++ b/internal/scheduler/hosting.go
@@ -49,7 +49,8 @@
 		s.opts.Authority.Token() == s.epoch.Token
 }
 
-// jobRequest is the part of a placement request that is for one job.
+// jobRequest is the part of a placement request that is for one job, and the reply
+// to fill in.
 type jobRequest struct {
 	from       string // the job's owner
 	overloaded bool   // the owner is: no machine is handed over to it
@@ -57,6 +58,7 @@
 	job        *queue.Job
 	wanted     *peerpb.Wanted
 	placed     int // how many of the wanted attempts are placed here
+	reply      *peerpb.PlaceReply
 }
 
 // pending is how many tasks of the job wait, also beyond the request.
@@ -69,13 +71,16 @@
 	if record == nil || s.epoch.OwnerOf(record.Job.Team, record.Job.ID) != from {
 		return
 	}
-	r := &jobRequest{from: from, overloaded: overloaded, record: record, job: s.hostedJobLocked(record, wanted), wanted: wanted}
+	r := &jobRequest{
+		from: from, overloaded: overloaded, wanted: wanted, reply: reply,
+		record: record, job: s.hostedJobLocked(record, wanted),
+	}
 	for _, attempt := range wanted.Attempts {
 		_, index, ok := wire.SplitTaskID(attempt.Task)
 		if !ok || s.deniedAttempts.Denied(remote.KeyOf(attempt)) {
 			continue
 		}
-		if !s.hostNextLocked(r, attempt, index, reply, now) {
+		if !s.hostNextLocked(r, attempt, index, now) {
 			break
 		}
 	}
@@ -103,36 +108,36 @@
 
 // hostNextLocked places the next attempt that is requested, or hands over
 // machines for it. It returns false if the others need not be tried.
-func (s *Scheduler) hostNextLocked(r *jobRequest, attempt *peerpb.Attempt, index int, reply *peerpb.PlaceReply, now time.Time) bool {
+func (s *Scheduler) hostNextLocked(r *jobRequest, attempt *peerpb.Attempt, index int, now time.Time) bool {
 	if r.record.Job.Kind == wire.KindGang {
-		s.handOverForGangLocked(r, reply, now)
+		s.handOverForGangLocked(r, now)
 		return false
 	}
 	m, making := s.findForHostedLocked(r, now)
 	if m == nil {
-		reply.Making = reply.Making || making
+		r.reply.Making = r.reply.Making || making
 		return false
 	}
 	if !r.overloaded && s.canHandOverLocked(m, now) {
 		// The owner places there itself.
-		reply.Given += uint32(s.handOverForLocked(r.job, m, r.from, r.pending(), now))
+		r.reply.Given += uint32(s.handOverForLocked(r.job, m, r.from, r.pending(), now))
 		return false
 	}
 	s.hostLocked(r, attempt, index, m, now)
-	reply.Taken = append(reply.Taken, &peerpb.Hosted{Attempt: attempt, Zone: m.Zone, Known: true})
+	r.reply.Taken = append(r.reply.Taken, &peerpb.Hosted{Attempt: attempt, Zone: m.Zone, Known: true})
 	return true
 }
 
 // handOverForGangLocked hands over an idle machine, if there is one. A gang is
 // placed in one walk by its owner, which needs machines for it, not places.
-func (s *Scheduler) handOverForGangLocked(r *jobRequest, reply *peerpb.PlaceReply, now time.Time) {
+func (s *Scheduler) handOverForGangLocked(r *jobRequest, now time.Time) {
 	found := s.packer.Idle(r.job, now)
 	if found == nil {
 		return
 	}
 	if idle := s.machines[found.Name]; s.canHandOverLocked(idle, now) {
 		s.handOverLocked([]*machine{idle}, r.from)
-		reply.Given++
+		r.reply.Given++
 	}
 }
 
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -29,12 +29,12 @@
 	}
 	all := now.Sub(s.allProgressAt) < progressRepeatFor
 	for id, queued := range s.jobs {
-		p := job.Progress{Done: queued.Done.Count, Running: running[id]}
-		if p != queued.ReportedProgress {
-			queued.ReportedProgress, queued.ProgressChangedAt = p, now
+		progress := job.Progress{Done: queued.Done.Count, Running: running[id]}
+		if progress != queued.ReportedProgress {
+			queued.ReportedProgress, queued.ProgressChangedAt = progress, now
 		}
 		if all || now.Sub(queued.ProgressChangedAt) < progressRepeatFor {
-			changed[id] = p
+			changed[id] = progress
 		}
 	}
 	return changed
--- a/internal/scheduler/readiness.go
+++ b/internal/scheduler/readiness.go
@@ -3,7 +3,9 @@
 import "heronwick/internal/job"
 
 // effectivePriorityOf is the priority under which a job's tasks run.
-func (s *Scheduler) effectivePriorityOf(r *job.Record) int { return s.opts.Jobs.Readiness(r).Rank }
+func (s *Scheduler) effectivePriorityOf(record *job.Record) int {
+	return s.opts.Jobs.Readiness(record).Rank
+}
 
 // ReadinessChanged implements job.Listener: the jobs, by ID, became ready or
 // changed their effective priority or deadline.
