--- a/internal/checkpoint/writejournal.go
+++ b/internal/checkpoint/writejournal.go
@@ -29,10 +29,10 @@
 	return written
 }
 
-// journalEvery is how long one write of the journal waits after the one
+// journalInterval is how long one write of the journal waits after the one
 // before: it comes before the ends of jobs, and must leave them, and the other
 // schedulers, most of the writes that the store allows.
-func (w *Writer) journalEvery() time.Duration {
+func (w *Writer) journalInterval() time.Duration {
 	const part = 6 // of the writes of all controllers
 	return time.Duration(part / max(w.opts.Settings.StateWriteRate, 1) * float64(time.Second))
 }
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// cloudEvery is how often it is decided whether to rent or return machines.
-	cloudEvery = 500 * time.Millisecond
-	// listEvery is how often the cloud's list is read.
-	listEvery = 5 * time.Second
+	// cloudInterval is how often it is decided whether to rent or return machines.
+	cloudInterval = 500 * time.Millisecond
+	// listInterval is how often the cloud's list is read.
+	listInterval = 5 * time.Second
 )
 
 // runCloud reads the cloud's list of machines, rents and returns. Only the leader
@@ -22,14 +22,14 @@
 func (s *Scheduler) runCloud(ctx context.Context) error {
 	renter := s.renter()
 	var listed time.Time
-	return wait.Every(ctx, cloudEvery, func() {
+	return wait.Every(ctx, cloudInterval, func() {
 		s.mu.Lock()
 		leads := s.leadsLocked()
 		s.mu.Unlock()
 		if !leads {
 			return
 		}
-		if now := time.Now(); now.Sub(listed) > listEvery {
+		if now := time.Now(); now.Sub(listed) > listInterval {
 			listed = now
 			s.readMachineList(ctx)
 		}
--- a/internal/scheduler/checkpoints.go
+++ b/internal/scheduler/checkpoints.go
@@ -33,8 +33,8 @@
 	s.checkpoints.Commit(pending)
 }
 
-// tidyEvery is how often buckets are tidied: nobody waits for it.
-const tidyEvery = 10 * time.Second
+// tidyInterval is how often buckets are tidied: nobody waits for it.
+const tidyInterval = 10 * time.Second
 
 // tidyRecordsLocked removes from the store what it holds of machines that are no longer here.
 func (s *Scheduler) tidyRecordsLocked(now time.Time) {
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -180,12 +180,12 @@
 // currentLocked tells whether the epoch that the scheduler acts under is current.
 func (s *Scheduler) currentLocked() bool { return s.fenceLocked().Current() }
 
-// raiseEvery is how often the fencing token may be raised.
-const raiseEvery = 2 * time.Second
+// raiseTokenInterval is how often the fencing token may be raised.
+const raiseTokenInterval = 2 * time.Second
 
-// raiseTokenLocked raises the fencing token, at most every raiseEvery.
+// raiseTokenLocked raises the fencing token, at most every raiseTokenInterval.
 func (s *Scheduler) raiseTokenLocked(now time.Time) {
-	if s.raisingToken || now.Sub(s.raiseAttemptedAt) <= raiseEvery {
+	if s.raisingToken || now.Sub(s.raiseAttemptedAt) <= raiseTokenInterval {
 		return
 	}
 	s.raisingToken, s.raiseAttemptedAt = true, now
--- a/internal/scheduler/loadshedding.go
+++ b/internal/scheduler/loadshedding.go
@@ -9,9 +9,9 @@
 // sends them placement requests.
 
 const (
-	// shedEvery is how often a scheduler that is short of processor time hands
+	// shedInterval is how often a scheduler that is short of processor time hands
 	// idle machines over.
-	shedEvery = 5 * time.Second
+	shedInterval = 5 * time.Second
 	// overloadedFor is how long a shortage counts: idle machines that went back
 	// and forth with each short one would be nobody's for most of the time.
 	overloadedFor = time.Minute
@@ -30,7 +30,7 @@
 // fewest, if this one is short of processor time and that one is not: half of
 // those it can spare, until both have as many.
 func (s *Scheduler) shedIdleMachinesLocked(now time.Time) {
-	if !s.loaded || !s.permitted() || !s.overloadedLocked(now) || now.Sub(s.shedAt) < shedEvery {
+	if !s.loaded || !s.permitted() || !s.overloadedLocked(now) || now.Sub(s.shedAt) < shedInterval {
 		return
 	}
 	s.shedAt = now
--- a/internal/scheduler/loop.go
+++ b/internal/scheduler/loop.go
@@ -7,20 +7,20 @@
 	"heronwick/internal/wait"
 )
 
-// passEvery is how long a pass waits after the one before, or twice as long as
+// passInterval is how long a pass waits after the one before, or twice as long as
 // that took. What comes meanwhile is served together: under load a pass for
 // each heartbeat would take more than this controller's part of a processor.
-const passEvery = 10 * time.Millisecond
+const passInterval = 10 * time.Millisecond
 
-// tickEvery is how often the scheduler does what no event calls for.
-const tickEvery = 200 * time.Millisecond
+// tickInterval is how often the scheduler does what no event calls for.
+const tickInterval = 200 * time.Millisecond
 
-// logLoadEvery is how often the scheduler logs how full it is.
-const logLoadEvery = 10 * time.Second
+// logLoadInterval is how often the scheduler logs how full it is.
+const logLoadInterval = 10 * time.Second
 
 // loop schedules whenever something has changed, and ticks at regular times.
 func (s *Scheduler) loop(ctx context.Context) error {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -31,7 +31,7 @@
 			s.tick(now)
 		}
 		took := s.schedule()
-		if !wait.Sleep(ctx, max(passEvery, 2*took)) {
+		if !wait.Sleep(ctx, max(passInterval, 2*took)) {
 			return nil
 		}
 	}
@@ -51,21 +51,21 @@
 	s.rebalanceIdleLocked(now)
 	s.shedIdleMachinesLocked(now)
 	s.watchMachinesLocked(now)
-	if now.Sub(s.upkeep.summarized) >= summarizeEvery {
+	if now.Sub(s.upkeep.summarized) >= summarizeInterval {
 		s.upkeep.summarized = now
 		s.summarizeLocked(now)
 	}
 	s.flushDoneTasksLocked(now)
 	s.announceReleasesLocked()
-	if now.Sub(s.upkeep.closed) > closeReturnsEvery {
+	if now.Sub(s.upkeep.closed) > closeReturnsInterval {
 		s.upkeep.closed = now
 		s.closeReturnsLocked()
 	}
-	if now.Sub(s.upkeep.tidied) > tidyEvery {
+	if now.Sub(s.upkeep.tidied) > tidyInterval {
 		s.upkeep.tidied = now
 		s.tidyRecordsLocked(now)
 	}
-	if now.Sub(s.upkeep.logged) > logLoadEvery {
+	if now.Sub(s.upkeep.logged) > logLoadInterval {
 		s.upkeep.logged = now
 		s.logLoadLocked(now)
 	}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// victimSearchEvery is how soon tasks to stop are searched for again where none
+	// victimSearchInterval is how soon tasks to stop are searched for again where none
 	// was found: that goes over every task of the scheduler.
-	victimSearchEvery = 300 * time.Millisecond
+	victimSearchInterval = 300 * time.Millisecond
 	// preemptAgainAfter is for how long tasks that are being stopped for a job
 	// are awaited before more are stopped for it.
 	preemptAgainAfter = 2 * time.Second
@@ -57,7 +57,7 @@
 		return false
 	}
 	tried := &queued.NoVictimAt[images]
-	if now.Sub(*tried) < victimSearchEvery {
+	if now.Sub(*tried) < victimSearchInterval {
 		return false
 	}
 	// What was stopped a moment ago has not made its room yet.
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -11,9 +11,9 @@
 	// progressRepeatFor is how long a change of progress is sent, so that a lost
 	// message does not hide it.
 	progressRepeatFor = 3 * time.Second
-	// allProgressEvery is how often that of all jobs is sent: to a controller that
+	// allProgressInterval is how often that of all jobs is sent: to a controller that
 	// has started since, a job whose progress does not change would stay queued.
-	allProgressEvery = 20 * time.Second
+	allProgressInterval = 20 * time.Second
 )
 
 // Progress returns how far the jobs are whose progress has changed lately, and
@@ -24,7 +24,7 @@
 	now := time.Now()
 	running := s.runningTasksLocked()
 	changed := map[string]job.Progress{}
-	if now.Sub(s.allProgressAt) >= allProgressEvery {
+	if now.Sub(s.allProgressAt) >= allProgressInterval {
 		s.allProgressAt = now
 	}
 	all := now.Sub(s.allProgressAt) < progressRepeatFor
--- a/internal/scheduler/rebalancing.go
+++ b/internal/scheduler/rebalancing.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// rebalanceEvery is how often idle machines are rebalanced among the controllers.
-	rebalanceEvery = 30 * time.Second
+	// rebalanceInterval is how often idle machines are rebalanced among the controllers.
+	rebalanceInterval = 30 * time.Second
 	// unknownTasksMemory is how long a machine with tasks of unknown jobs is
 	// remembered: it is gone, or it would have been decided.
 	unknownTasksMemory = 10 * time.Minute
@@ -21,7 +21,7 @@
 // controllers without one. A controller that starves gets them at once, see
 // Place.
 func (s *Scheduler) rebalanceIdleLocked(now time.Time) {
-	if !s.loaded || !s.permitted() || now.Sub(s.rebalancedAt) < rebalanceEvery {
+	if !s.loaded || !s.permitted() || now.Sub(s.rebalancedAt) < rebalanceInterval {
 		return
 	}
 	s.rebalancedAt = now
--- a/internal/scheduler/returns.go
+++ b/internal/scheduler/returns.go
@@ -13,8 +13,8 @@
 const (
 	// returnAgainAfter is how long a machine is kept whose return was refused.
 	returnAgainAfter = time.Second
-	// closeReturnsEvery is how often return intents are removed whose machines are gone.
-	closeReturnsEvery = 3 * time.Second
+	// closeReturnsInterval is how often return intents are removed whose machines are gone.
+	closeReturnsInterval = 3 * time.Second
 )
 
 // returnLocked returns machines of this scheduler to the cloud. When the cloud
--- a/internal/scheduler/settle.go
+++ b/internal/scheduler/settle.go
@@ -13,12 +13,12 @@
 	"heronwick/wire"
 )
 
-// settleEvery is how often the hosts of remote attempts are asked.
-const settleEvery = 400 * time.Millisecond
+// settleInterval is how often the hosts of remote attempts are asked.
+const settleInterval = 400 * time.Millisecond
 
 // runRemote asks the hosts of remote attempts what became of them.
 func (s *Scheduler) runRemote(ctx context.Context) error {
-	return wait.Every(ctx, settleEvery, func() {
+	return wait.Every(ctx, settleInterval, func() {
 		s.mu.Lock()
 		requests := s.settleRequestsLocked()
 		s.mu.Unlock()
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -64,9 +64,9 @@
 	wants          []*peerpb.Want
 }
 
-// summarizeEvery is how often the summary is made: as often as heartbeats go out
+// summarizeInterval is how often the summary is made: as often as heartbeats go out
 // to each of two peers.
-const summarizeEvery = 500 * time.Millisecond
+const summarizeInterval = 500 * time.Millisecond
 
 // summarizeLocked makes the summary anew.
 func (s *Scheduler) summarizeLocked(now time.Time) {
