--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -47,32 +47,32 @@
 		return
 	}
 	view := s.opts.Authority.View()
-	epoch, condition := view.Epoch, view.Condition
+	epoch := &view.Epoch
 	owners := s.opts.Authority.Ownership()
 	if !owners.Fresh {
 		return // an owner's write of the epoch before may be missing; the watch brings it
 	}
-	if s.loaded && epoch.Token != s.epoch.Token && sameAssignment(&epoch, &s.epoch.Epoch) {
-		s.takeRaisedTokenLocked(epoch, condition)
+	if s.loaded && epoch.Token != s.epoch.Token && sameAssignment(epoch, &s.epoch.Epoch) {
+		s.takeRaisedTokenLocked(view)
 	}
 	if epoch.Leader != s.opts.Node {
 		owners.Orphans = nil // the leader's
 	}
 	adopt := s.machinesToAdoptLocked(owners)
-	gained := s.gainedJobsLocked(&epoch)
+	gained := s.gainedJobsLocked(epoch)
 	if s.loaded && epoch.Token == s.epoch.Token && len(adopt) == 0 && len(gained) == 0 && s.adoptedToken == epoch.Token {
 		return
 	}
 	s.rebuilding = true
-	s.spawn(func(ctx context.Context) { s.rebuild(ctx, epoch, condition, gained, adopt) })
+	s.spawn(func(ctx context.Context) { s.rebuild(ctx, view, gained, adopt) })
 }
 
 // takeRaisedTokenLocked takes an epoch in which only the fencing token has risen.
-func (s *Scheduler) takeRaisedTokenLocked(epoch cluster.Epoch, condition wire.Condition) {
+func (s *Scheduler) takeRaisedTokenLocked(view cluster.View) {
 	if s.adoptedToken == s.epoch.Token {
-		s.adoptedToken = epoch.Token
+		s.adoptedToken = view.Epoch.Token
 	}
-	s.epoch.Epoch, s.epoch.condition, s.epoch.raisedAt = epoch, condition, time.Now()
+	s.epoch.Epoch, s.epoch.condition, s.epoch.raisedAt = view.Epoch, view.Condition, time.Now()
 }
 
 // machinesToAdoptLocked returns the machines, of the scheduler's and of those without
@@ -125,14 +125,14 @@
 }
 
 // takeEpochLocked makes an epoch the one that the scheduler acts under.
-func (s *Scheduler) takeEpochLocked(epoch cluster.Epoch, condition wire.Condition) {
-	if s.beginsToLeadLocked(&epoch) {
+func (s *Scheduler) takeEpochLocked(view cluster.View) {
+	if s.beginsToLeadLocked(&view.Epoch) {
 		s.leaderSince = time.Now()
 	}
-	if !s.loaded || !sameAssignment(&epoch, &s.epoch.Epoch) {
-		s.epoch.assigned, s.epoch.assignedToken = condition, epoch.Token
+	if !s.loaded || !sameAssignment(&view.Epoch, &s.epoch.Epoch) {
+		s.epoch.assigned, s.epoch.assignedToken = view.Condition, view.Epoch.Token
 	}
-	s.epoch.Epoch, s.epoch.condition, s.epoch.raisedAt = epoch, condition, time.Now()
+	s.epoch.Epoch, s.epoch.condition, s.epoch.raisedAt = view.Epoch, view.Condition, time.Now()
 }
 
 // disownLocked lets go of jobs that now belong to other schedulers. Their tasks on
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -7,16 +7,16 @@
 	"heronwick/internal/cluster"
 	"heronwick/internal/job"
 	"heronwick/internal/recovery"
-	"heronwick/wire"
 )
 
 // rebuild makes the scheduler fit a new epoch: it lets go of jobs that are no
 // longer its own, takes machines without an owner, and reads from the records
 // what may be where, before anything of that is placed.
-func (s *Scheduler) rebuild(ctx context.Context, epoch cluster.Epoch, condition wire.Condition, gained []*job.Record, adopt []string) {
+func (s *Scheduler) rebuild(ctx context.Context, view cluster.View, gained []*job.Record, adopt []string) {
+	epoch := &view.Epoch
 	var records recovery.Records
 	var err error
-	if s.beginRebuild(&epoch) || len(adopt) > 0 || len(gained) > 0 {
+	if s.beginRebuild(epoch) || len(adopt) > 0 || len(gained) > 0 {
 		records, err = recovery.Read(ctx, s.opts.Records, s.opts.Jobs)
 	}
 
@@ -31,8 +31,8 @@
 	if now := s.opts.Authority.View().Epoch; ctx.Err() != nil || now.Token != epoch.Token {
 		return // the next epoch starts over: what was read may be outdated
 	}
-	s.disownLocked(&epoch) // what came meanwhile by the old epoch
-	s.takeEpochLocked(epoch, condition)
+	s.disownLocked(epoch) // what came meanwhile by the old epoch
+	s.takeEpochLocked(view)
 	s.restoreLocked(records, gained, adopt)
 	s.adoptedToken, s.loaded = epoch.Token, true
 	s.takeDoneBucketsLocked(records.Done)
