--- a/cmd/heronwick/httpserver.go
+++ b/cmd/heronwick/httpserver.go
@@ -45,7 +45,7 @@
 // takes it for unreachable.
 const stateSilence = 3 * time.Second
 
-// ready tells whether this controller can take requests. In an outage of the
+// ready reports whether this controller can take requests. In an outage of the
 // key-value store all controllers stay ready, since being removed costs more than
 // the outage; one that alone cannot reach it does not. Nor does one that hears no
 // other and is no member: it can confirm no cancellation, while others can.
--- a/cmd/heronwick/membership.go
+++ b/cmd/heronwick/membership.go
@@ -96,7 +96,7 @@
 	return weights
 }
 
-// ownsJob tells whether this controller schedules a job.
+// ownsJob reports whether this controller schedules a job.
 func (c *controller) ownsJob(id string) bool {
 	record := c.jobs.Active(id)
 	view := c.members.View()
--- a/internal/autoscale/inventory.go
+++ b/internal/autoscale/inventory.go
@@ -93,7 +93,7 @@
 	inv.refused[place] = r
 }
 
-// Refused tells whether a place is backing off after a refusal.
+// Refused reports whether a place is backing off after a refusal.
 func (inv *Inventory) Refused(place placement.Place, now time.Time) bool {
 	return now.Before(inv.refused[place].until)
 }
@@ -104,7 +104,7 @@
 	delete(inv.booting, name)
 }
 
-// IsReleased tells whether a machine is known to be released.
+// IsReleased reports whether a machine is known to be released.
 func (inv *Inventory) IsReleased(name string) bool { return !inv.released[name].IsZero() }
 
 // ForgetReleased forgets machines that were released long ago.
--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -35,7 +35,7 @@
 	rent  bool
 }
 
-// takes tells whether one more task of the demand may go to the machine.
+// takes reports whether one more task of the demand may go to the machine.
 func (m *plannedMachine) takes(d Demand, byZone map[string]int) bool {
 	return d.Size.Within(m.free) && placement.Allows(d.Job, m.place, placement.Spread{ByZone: byZone})
 }
@@ -135,7 +135,7 @@
 	return best
 }
 
-// mayRent tells whether the option is open to a task of the job now.
+// mayRent reports whether the option is open to a task of the job now.
 func (p *plan) mayRent(o *option, j *wire.Job, byZone map[string]int) bool {
 	return !p.planner.Inventory.Refused(o.place, p.now) && placement.Allows(j, o.place, placement.Spread{ByZone: byZone})
 }
--- a/internal/checkpoint/bucket.go
+++ b/internal/checkpoint/bucket.go
@@ -30,7 +30,7 @@
 	journaled map[*Machine]bool
 }
 
-// IsJournal tells whether the bucket is a journal, of whatever scheduler.
+// IsJournal reports whether the bucket is a journal, of whatever scheduler.
 func (b *Bucket) IsJournal() bool { return fleet.IsJournal(b.key) }
 
 // Keep keeps what the bucket says of a machine that belongs on another one, until
@@ -48,10 +48,10 @@
 	return r, ok
 }
 
-// writable tells whether the bucket can be written now.
+// writable reports whether the bucket can be written now.
 func (b *Bucket) writable() bool { return !b.committing && !b.oversized }
 
-// empty tells whether the bucket holds nothing any more.
+// empty reports whether the bucket holds nothing any more.
 func (b *Bucket) empty() bool { return len(b.machines)+len(b.leftover) == 0 }
 
 // put enters a machine that is on no other bucket.
--- a/internal/checkpoint/bucketwrite.go
+++ b/internal/checkpoint/bucketwrite.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// admits tells whether the write can record an attempt, and makes it
+// admits reports whether the write can record an attempt, and makes it
 // conditional on the attempt's job being active, so that nothing is placed for
 // one cancelled a moment ago. A write takes half of the conditions that a
 // transaction can have: the rest is for others' writes beside it. What finds
--- a/internal/checkpoint/machine.go
+++ b/internal/checkpoint/machine.go
@@ -13,13 +13,13 @@
 	elsewhere []*Bucket // that still hold a record of it
 }
 
-// Pending tells whether something of the machine must be written.
+// Pending reports whether something of the machine must be written.
 func (m *Machine) Pending() bool { return m.Dirty || m.due }
 
-// Writing tells whether a record of the machine is on its way.
+// Writing reports whether a record of the machine is on its way.
 func (m *Machine) Writing() bool { return m.bucket != nil && m.bucket.committing }
 
-// inBucket tells whether a bucket in the store has the machine's record.
+// inBucket reports whether a bucket in the store has the machine's record.
 func (m *Machine) inBucket() bool { return m.bucket != nil && m.bucket.version > 0 }
 
 // journalExtract returns what a journal is to hold of the machine, and whether there
--- a/internal/checkpoint/scheduler.go
+++ b/internal/checkpoint/scheduler.go
@@ -19,9 +19,9 @@
 	Machines() iter.Seq[*Machine]
 	// MachineCount is how many those are.
 	MachineCount() int
-	// Owns tells whether a machine is still the scheduler's.
+	// Owns reports whether a machine is still the scheduler's.
 	Owns(m *Machine) bool
-	// Returning tells whether a machine is being returned: no bucket is written for it.
+	// Returning reports whether a machine is being returned: no bucket is written for it.
 	Returning(m *Machine) bool
 
 	// Fence is the condition under which records are written: the epoch that the
--- a/internal/checkpoint/table.go
+++ b/internal/checkpoint/table.go
@@ -19,7 +19,7 @@
 	journalKey func(n int) string
 	// bucketLimit is how many bytes a bucket may come to that takes another machine.
 	bucketLimit func() int
-	// owns tells whether a machine is still the scheduler's.
+	// owns reports whether a machine is still the scheduler's.
 	owns func(m *Machine) bool
 }
 
@@ -113,5 +113,5 @@
 	t.scattered[m] = true
 }
 
-// ownsJournal tells whether the bucket is one of this scheduler's journals.
+// ownsJournal reports whether the bucket is one of this scheduler's journals.
 func (t *Table) ownsJournal(b *Bucket) bool { return slices.Contains(t.journals, b) }
--- a/internal/checkpoint/writejournal.go
+++ b/internal/checkpoint/writejournal.go
@@ -64,7 +64,7 @@
 	return journal
 }
 
-// checkpointing tells whether buckets are still due since the journals last
+// checkpointing reports whether buckets are still due since the journals last
 // filled: what they gain meanwhile goes with the next round of them.
 func (w *Writer) checkpointing() bool {
 	for _, b := range w.buckets {
--- a/internal/completion/bucket.go
+++ b/internal/completion/bucket.go
@@ -22,5 +22,5 @@
 	b.jobs[id][block] = bits
 }
 
-// empty tells whether the bucket holds nothing any more.
+// empty reports whether the bucket holds nothing any more.
 func (b *bucket) empty() bool { return len(b.jobs) == 0 }
--- a/internal/completion/flush.go
+++ b/internal/completion/flush.go
@@ -48,7 +48,7 @@
 	attempts []*fleet.Attempt // that are handled once it is written
 }
 
-// FlushDue tells whether done tasks are to be written again.
+// FlushDue reports whether done tasks are to be written again.
 func (t *Table) FlushDue(now time.Time) bool { return now.Sub(t.flushed) >= t.flushInterval() }
 
 // Flush starts to write the done tasks of jobs, and what else is due of the
--- a/internal/completion/table.go
+++ b/internal/completion/table.go
@@ -34,7 +34,7 @@
 // there is only one.
 func (t *Table) sizeLimit() int { return t.scheduler.ValueLimit() * 3 / 4 }
 
-// contains tells whether the bucket is one of the table's.
+// contains reports whether the bucket is one of the table's.
 func (t *Table) contains(b *bucket) bool {
 	return b != nil && t.buckets[b.key] == b
 }
--- a/internal/detector/assessment.go
+++ b/internal/detector/assessment.go
@@ -50,24 +50,24 @@
 	return a
 }
 
-// few tells whether so few of the workers have something that it is theirs
+// few reports whether so few of the workers have something that it is theirs
 // rather than this controller's.
 func (a *Assessment) few(count int) bool { return count <= max(2, a.count/3) }
 
-// Dead tells whether a worker that neither sends heartbeats nor answers probes
+// Dead reports whether a worker that neither sends heartbeats nor answers probes
 // counts as lost.
 func (a *Assessment) Dead(w *Worker) bool {
 	return a.detector.unresponsive(w, a.now) && a.judgedByItself(w) && a.failedAlone(w)
 }
 
-// judgedByItself tells whether a silent worker may be judged by itself. While this
+// judgedByItself reports whether a silent worker may be judged by itself. While this
 // controller is rather cut off from many, their machines are kept for as long as new
 // ones would take to serve.
 func (a *Assessment) judgedByItself(w *Worker) bool {
 	return !a.partitioned || w.silence(a.now) > a.detector.partitionTimeout(w)
 }
 
-// failedAlone tells whether most other workers that were probed or have sent a
+// failedAlone reports whether most other workers that were probed or have sent a
 // heartbeat since this one began to fail have been heard. A controller that loses
 // all its workers would otherwise return them one after the other. Where most of a
 // zone is silent and the others are not, the zone is partitioned off: its machines
@@ -94,19 +94,19 @@
 	return a.index
 }
 
-// Unreachable tells whether a worker whose heartbeats arrive is lost since nothing
+// Unreachable reports whether a worker whose heartbeats arrive is lost since nothing
 // reaches it, while few others are like it.
 func (a *Assessment) Unreachable(w *Worker) bool {
 	return a.fewUnreachable && !a.busy && a.detector.unreachable(w, a.now)
 }
 
-// HeartbeatsMissing tells whether a worker that answers reaches no controller, while
+// HeartbeatsMissing reports whether a worker that answers reaches no controller, while
 // few others are like it.
 func (a *Assessment) HeartbeatsMissing(w *Worker) bool {
 	return a.fewHeartbeatsMissing && a.detector.HeartbeatsMissing(w, a.now)
 }
 
-// HeartbeatsMissingForGood tells whether it has been so for so long that another
+// HeartbeatsMissingForGood reports whether it has been so for so long that another
 // machine is worth its price.
 func (a *Assessment) HeartbeatsMissingForGood(w *Worker) bool {
 	return a.fewHeartbeatsMissing && a.detector.heartbeatsMissingForGood(w, a.now)
--- a/internal/detector/detector.go
+++ b/internal/detector/detector.go
@@ -51,7 +51,7 @@
 // New returns a detector that counts no delay yet.
 func New(settings Settings) *Detector { return &Detector{settings: settings} }
 
-// Partitioned tells whether at the last assessment most workers could not be
+// Partitioned reports whether at the last assessment most workers could not be
 // reached: rather this controller is cut off from them than all of them dead.
 func (d *Detector) Partitioned() bool { return d.partitioned }
 
@@ -64,7 +64,7 @@
 	return d.longestInterval() + lostHeartbeatAllowance + min(d.Latency(), d.settings.HeartbeatInterval)
 }
 
-// Suspected tells whether the worker has been silent for longer than a healthy one.
+// Suspected reports whether the worker has been silent for longer than a healthy one.
 func (d *Detector) Suspected(w *Worker, now time.Time) bool {
 	return w.silence(now) > d.SuspectAfter()
 }
@@ -73,13 +73,13 @@
 // as dead, and its machine is returned for proof: a heartbeat is surely missing.
 func (d *Detector) DeadAfter() time.Duration { return d.longestInterval() + lateHeartbeatAllowance }
 
-// ProbeDue tells whether the worker is to be probed: it is silent, or does not answer.
+// ProbeDue reports whether the worker is to be probed: it is silent, or does not answer.
 func (d *Detector) ProbeDue(w *Worker, now time.Time) bool {
 	wanted := d.probeWanted(w, now) || !w.unreachableSince.IsZero()
 	return wanted && now.Sub(w.lastProbe) >= d.probeInterval(w) && !w.requestPending
 }
 
-// probeWanted tells whether the worker has been silent for so long that it is probed.
+// probeWanted reports whether the worker has been silent for so long that it is probed.
 func (d *Detector) probeWanted(w *Worker, now time.Time) bool {
 	silence := w.silence(now)
 	// Whether it serves is only found out of those that may be silent.
@@ -110,26 +110,26 @@
 	return max(ProbeTimeout, d.settings.HeartbeatInterval/2)
 }
 
-// HeartbeatsMissing tells whether a worker that answers direct requests has not sent
+// HeartbeatsMissing reports whether a worker that answers direct requests has not sent
 // a heartbeat for most of a lease: it reaches no controller, so its lease expires
 // again and again.
 func (d *Detector) HeartbeatsMissing(w *Worker, now time.Time) bool {
 	return now.Sub(w.LastUnsolicited) > d.settings.LeaseDuration*3/4 && !d.Suspected(w, now)
 }
 
-// heartbeatsMissingForGood tells whether it has been so for so long that another
+// heartbeatsMissingForGood reports whether it has been so for so long that another
 // machine is worth its price.
 func (d *Detector) heartbeatsMissingForGood(w *Worker, now time.Time) bool {
 	return d.HeartbeatsMissing(w, now) && now.Sub(w.LastUnsolicited) > 2*d.settings.LeaseDuration
 }
 
-// unresponsive tells whether a silent worker has left enough probes unanswered, for
+// unresponsive reports whether a silent worker has left enough probes unanswered, for
 // long enough, to count as dead by itself.
 func (d *Detector) unresponsive(w *Worker, now time.Time) bool {
 	return w.failedProbes >= deadProbes && w.silence(now) > d.DeadAfter()
 }
 
-// unreachable tells whether a worker whose heartbeats arrive has answered nothing
+// unreachable reports whether a worker whose heartbeats arrive has answered nothing
 // for so long that it counts as lost: its lease expires, since replies do not
 // reach it either, and what it is sent does not start.
 func (d *Detector) unreachable(w *Worker, now time.Time) bool {
--- a/internal/detector/overload.go
+++ b/internal/detector/overload.go
@@ -28,13 +28,13 @@
 	}
 }
 
-// Busy tells whether this controller is too short of processor time to judge by
+// Busy reports whether this controller is too short of processor time to judge by
 // an answer's absence.
 func (d *Detector) Busy(now time.Time) bool {
 	return d.Latency() > busyLatency || now.Before(d.busyUntil)
 }
 
-// Inconclusive tells whether the failure of a direct request says nothing of the
+// Inconclusive reports whether the failure of a direct request says nothing of the
 // worker: this controller had no socket for it, or is too busy.
 func (d *Detector) Inconclusive(err error, now time.Time) bool {
 	return errors.Is(err, fleet.ErrNoSocket) || d.Busy(now)
--- a/internal/detector/worker.go
+++ b/internal/detector/worker.go
@@ -31,7 +31,7 @@
 	return Worker{Machine: m, LastUnsolicited: now}
 }
 
-// NoteUnsolicited notes that a heartbeat has come by itself; fresh tells whether
+// NoteUnsolicited notes that a heartbeat has come by itself; fresh reports whether
 // it is newer than all that is known of the worker. On a slow link a heartbeat that
 // the answer to a later probe has overtaken is no news, but it did come: a worker
 // of which none counts would be taken for one that reaches no controller. A copy of
@@ -56,7 +56,7 @@
 	}
 }
 
-// Responsive tells whether no probe has failed since the last sign of life, and the
+// Responsive reports whether no probe has failed since the last sign of life, and the
 // last direct request was answered.
 func (w *Worker) Responsive() bool { return w.failedProbes == 0 && w.unreachableSince.IsZero() }
 
@@ -67,7 +67,7 @@
 // EndRequest notes that the answer has come, or will not come.
 func (w *Worker) EndRequest() { w.requestPending = false }
 
-// RequestPending tells whether a request is between BeginRequest and EndRequest.
+// RequestPending reports whether a request is between BeginRequest and EndRequest.
 func (w *Worker) RequestPending() bool { return w.requestPending }
 
 // BeginProbe begins a request that is a probe.
@@ -77,7 +77,7 @@
 }
 
 // ProbeFailed notes that the probe that was sent at a time was not answered. It
-// tells whether it is the first since the last sign of life.
+// reports whether it is the first since the last sign of life.
 func (w *Worker) ProbeFailed(sent time.Time) (first bool) {
 	w.failedProbes++
 	w.unansweredProbes++
@@ -94,7 +94,7 @@
 	w.lastProbe = now
 }
 
-// ProbedLately tells whether another probe now would be in vain: one is under way,
+// ProbedLately reports whether another probe now would be in vain: one is under way,
 // or went out a moment ago.
 func (w *Worker) ProbedLately(now time.Time) bool {
 	return w.requestPending || now.Sub(w.lastProbe) <= ProbeTimeout
@@ -103,7 +103,7 @@
 // silence is for how long nothing has come from the worker.
 func (w *Worker) silence(now time.Time) time.Duration { return now.Sub(w.LastHeartbeat) }
 
-// serves tells whether replicas of services may be on the machine.
+// serves reports whether replicas of services may be on the machine.
 func (w *Worker) serves() bool {
 	for _, a := range w.Attempts.All() {
 		if a.Service && !a.Exited() {
--- a/internal/duty/acquire.go
+++ b/internal/duty/acquire.go
@@ -12,7 +12,7 @@
 )
 
 // acquireWanted acquires every duty that this controller should hold and that is free. The
-// watch tells whether it was acquired.
+// watch reports whether it was acquired.
 func (k *Keeper) acquireWanted(ctx context.Context, m Membership) {
 	k.mu.Lock()
 	s, ids := k.session, slices.Collect(maps.Keys(k.wanted))
@@ -54,7 +54,7 @@
 	return txn
 }
 
-// isFree tells whether a duty may be acquired: it was resigned, its holder is no longer a
+// isFree reports whether a duty may be acquired: it was resigned, its holder is no longer a
 // member, or its holder's lease has expired. evidence must still hold when it is acquired.
 func (k *Keeper) isFree(h holder, m Membership) (evidence []wire.Condition, free bool) {
 	switch {
--- a/internal/duty/actions.go
+++ b/internal/duty/actions.go
@@ -79,7 +79,7 @@
 	})
 }
 
-// Active tells whether intents are recorded before actions.
+// Active reports whether intents are recorded before actions.
 func (a *Actions) Active() bool { return a.opts.Keeper.Active() }
 
 // Guard returns the right to act for a duty like Keeper.Guard, and records a refusal.
--- a/internal/duty/guard.go
+++ b/internal/duty/guard.go
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// isOwn tells whether a holder record names this controller's session and membership.
+// isOwn reports whether a holder record names this controller's session and membership.
 func (k *Keeper) isOwn(h holder, s session, m Membership) bool {
 	return !h.corrupt && h.Node == k.opts.Node && h.Session == s.version && s.version != 0 && h.Since == m.Since
 }
--- a/internal/duty/intents.go
+++ b/internal/duty/intents.go
@@ -24,7 +24,7 @@
 	version  uint64
 }
 
-// HasReturnIntent tells whether an open intent returns a machine: no controller may place on it.
+// HasReturnIntent reports whether an open intent returns a machine: no controller may place on it.
 func (l *Ledger) HasReturnIntent(machine string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -48,7 +48,7 @@
 	return machines
 }
 
-// supersededLocked tells whether an intent was recorded by an earlier holder of a duty for
+// supersededLocked reports whether an intent was recorded by an earlier holder of a duty for
 // the fleet. A shard completes its own intents, whatever their token.
 func (l *Ledger) supersededLocked(intent *returnRecord) bool {
 	id, err := ParseID(intent.Duty)
@@ -123,7 +123,7 @@
 	return newOpenRental(key, l.entries[key])
 }
 
-// hasRentalIntent tells whether a request is part of an open intent to rent.
+// hasRentalIntent reports whether a request is part of an open intent to rent.
 func (l *Ledger) hasRentalIntent(request string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/duty/keeper.go
+++ b/internal/duty/keeper.go
@@ -31,7 +31,7 @@
 	Fresh   bool              // everything written under older epochs has been seen
 }
 
-// current tells whether a node's membership is one of the epoch's.
+// current reports whether a node's membership is one of the epoch's.
 func (m Membership) current(node string, since uint64) bool {
 	return since != 0 && m.Members[node] == since
 }
@@ -43,7 +43,7 @@
 	Lease       time.Duration // of the duties; 0: duties are off
 	Store       Store
 	Ledger      *Ledger
-	// Ready tells whether all controllers can decode what is stored for duties.
+	// Ready reports whether all controllers can decode what is stored for duties.
 	Ready      func() bool
 	Membership func() Membership
 	MaxChanges int // the store's limit of a transaction's changes
@@ -69,7 +69,7 @@
 	return &Keeper{opts: opts, poke: make(chan struct{}, 1), wanted: map[ID]time.Time{}, held: map[ID]uint64{}, paused: map[ID]time.Time{}}
 }
 
-// Active tells whether actions are fenced: duties are on, and every controller can decode
+// Active reports whether actions are fenced: duties are on, and every controller can decode
 // what they store.
 func (k *Keeper) Active() bool { return k.opts.Lease > 0 && k.opts.Ready() }
 
--- a/internal/duty/ledger.go
+++ b/internal/duty/ledger.go
@@ -175,7 +175,7 @@
 	return l.sessions[node]
 }
 
-// hasSeen tells whether everything up to a revision has been seen.
+// hasSeen reports whether everything up to a revision has been seen.
 func (l *Ledger) hasSeen(revision uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/duty/record.go
+++ b/internal/duty/record.go
@@ -53,7 +53,7 @@
 
 func sessionKey(node string) string { return sessionPrefix + node }
 
-// isDutyKey tells whether a key belongs to this package.
+// isDutyKey reports whether a key belongs to this package.
 func isDutyKey(key string) bool { return strings.HasPrefix(key, dutyPrefix) }
 
 // encode returns a record's stored form. The records of this package always encode.
--- a/internal/duty/returns.go
+++ b/internal/duty/returns.go
@@ -22,7 +22,7 @@
 	return state.NamesThatFit(machines, returnRecordOverhead, nameSyntax, a.opts.MaxValueBytes)
 }
 
-// HasReturnIntent tells whether an open intent of any controller returns a machine: no
+// HasReturnIntent reports whether an open intent of any controller returns a machine: no
 // controller may place on it. It also holds while duties are off.
 func (a *Actions) HasReturnIntent(machine string) bool { return a.opts.Ledger.HasReturnIntent(machine) }
 
@@ -167,7 +167,7 @@
 	})
 }
 
-// beginClosing tells whether CloseReturns has something to do and does not run yet.
+// beginClosing reports whether CloseReturns has something to do and does not run yet.
 func (a *Actions) beginClosing() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/duty/session.go
+++ b/internal/duty/session.go
@@ -17,7 +17,7 @@
 	until   time.Time // the lease has not expired before then
 }
 
-// valid tells whether the session's lease cannot have expired yet.
+// valid reports whether the session's lease cannot have expired yet.
 func (s session) valid(now time.Time) bool { return s.lease != 0 && now.Before(s.until) }
 
 // currentSession returns this controller's session.
--- a/internal/failovertest/checker.go
+++ b/internal/failovertest/checker.go
@@ -151,7 +151,7 @@
 	c.counts.Findings = append(c.counts.Findings, fmt.Sprintf(format, args...))
 }
 
-// replaced tells whether a sender is not the one that a holder record in the store names.
+// replaced reports whether a sender is not the one that a holder record in the store names.
 func (c *Checker) replaced(sender, holderKey string) bool {
 	if !c.fenced {
 		holderKey = epochKey
--- a/internal/failovertest/coordinator.go
+++ b/internal/failovertest/coordinator.go
@@ -14,7 +14,7 @@
 type Controller interface {
 	// Arm makes it freeze when it next reaches a point.
 	Arm(at FreezePoint)
-	// Frozen tells whether it is frozen.
+	// Frozen reports whether it is frozen.
 	Frozen() bool
 	// Resume lets it go on, or disarms it.
 	Resume()
--- a/internal/failovertest/node.go
+++ b/internal/failovertest/node.go
@@ -147,7 +147,7 @@
 	}
 }
 
-// quiet tells whether the epoch wants nothing new begun.
+// quiet reports whether the epoch wants nothing new begun.
 func (n *Node) quiet() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/failovertest/proxy.go
+++ b/internal/failovertest/proxy.go
@@ -80,7 +80,7 @@
 	p.armed, p.at = true, at
 }
 
-// Frozen tells whether the controller is frozen.
+// Frozen reports whether the controller is frozen.
 func (p *Proxy) Frozen() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -140,7 +140,7 @@
 }
 
 // deliver carries out a request to the machine service, with the fault that is drawn, and
-// tells whether it is answered.
+// reports whether it is answered.
 func (p *Proxy) deliver(carryOut func()) (answered bool) {
 	p.mu.Lock()
 	drawn, delay := fault(p.random.IntN(faultDraws)), time.Duration(p.random.Int64N(int64(MaxDelay)))
--- a/internal/job/answers.go
+++ b/internal/job/answers.go
@@ -44,7 +44,7 @@
 	return cachedJob{status: wire.JobStatus{ID: id, State: p.state(), Done: p.Done, Running: p.Running}, record: r}
 }
 
-// Resolution tells whether a job exists and whether it is over.
+// Resolution reports whether a job exists and whether it is over.
 type Resolution struct {
 	Found   bool // somebody has accepted the job
 	Over    bool
--- a/internal/ownership/transfers.go
+++ b/internal/ownership/transfers.go
@@ -42,7 +42,7 @@
 // EndMove notes that it was written, or could not be.
 func (t *Transfers) EndMove(machine string) { delete(t.moving, machine) }
 
-// Moving tells whether the owner of a machine is being written.
+// Moving reports whether the owner of a machine is being written.
 func (t *Transfers) Moving(machine string) bool { return t.moving[machine] }
 
 // MovingCount is of how many machines the owner is being written.
--- a/internal/packing/machine.go
+++ b/internal/packing/machine.go
@@ -20,7 +20,7 @@
 	reservations []reservation
 }
 
-// NewMachine returns a machine without reservations. accepts tells whether new
+// NewMachine returns a machine without reservations. accepts reports whether new
 // tasks may go to it, if there is room.
 func NewMachine(m *fleet.Machine, accepts func(now time.Time) bool) *Machine {
 	return &Machine{Machine: m, accepts: accepts}
@@ -50,7 +50,7 @@
 	}
 }
 
-// belowHalf tells whether one more replica of the size leaves services on at
+// belowHalf reports whether one more replica of the size leaves services on at
 // most half of the machine.
 func (m *Machine) belowHalf(size placement.Resources) bool {
 	if m.Type == nil {
--- a/internal/packing/packer.go
+++ b/internal/packing/packer.go
@@ -13,10 +13,10 @@
 type Scheduler interface {
 	// Machines yields all machines of the scheduler, in no order.
 	Machines() iter.Seq[*Machine]
-	// AnyMachine tells whether condition holds for any machine. It is called for
+	// AnyMachine reports whether condition holds for any machine. It is called for
 	// each task that is placed, where an iterator's allocations would show.
 	AnyMachine(condition func(*Machine) bool) bool
-	// Owns tells whether a machine is still among them.
+	// Owns reports whether a machine is still among them.
 	Owns(m *Machine) bool
 	// MaxAttempts is how many attempts a machine may have.
 	MaxAttempts() int
@@ -33,7 +33,7 @@
 // New returns a Packer for the machines of scheduler, none of them open.
 func New(scheduler Scheduler) *Packer { return &Packer{scheduler: scheduler} }
 
-// Fits tells whether the next task of the job may go to the machine and finds
+// Fits reports whether the next task of the job may go to the machine and finds
 // room there beside what is reserved for others.
 func (p *Packer) Fits(queued *queue.Job, m *Machine, now time.Time) bool {
 	if p.observe(m, now); !m.usable || !queued.Size.Within(m.free) {
@@ -42,7 +42,7 @@
 	return (len(m.reservations) == 0 || queued.Size.Within(p.unreserved(m, queued.Record.Job.ID, now))) && p.Allows(queued, m)
 }
 
-// Allows tells whether the next task of the job may go to the machine, whether
+// Allows reports whether the next task of the job may go to the machine, whether
 // or not there is room.
 func (p *Packer) Allows(queued *queue.Job, m *Machine) bool {
 	if !placement.Allows(&queued.Record.Job, m.Place(), placement.Spread{ByZone: queued.Zones}) {
@@ -135,7 +135,7 @@
 	return first
 }
 
-// HasRoom tells whether any machine takes a task of the job.
+// HasRoom reports whether any machine takes a task of the job.
 func (p *Packer) HasRoom(queued *queue.Job, now time.Time) bool {
 	if p.lacksRoom(queued.Size, now) {
 		return false
--- a/internal/packing/pass.go
+++ b/internal/packing/pass.go
@@ -60,7 +60,7 @@
 	clear(p.pass.lacks)
 }
 
-// Full tells whether the pass has found that no machine takes a task of the job.
+// Full reports whether the pass has found that no machine takes a task of the job.
 func (p *Packer) Full(queued *queue.Job, now time.Time) bool {
 	class, ok := classOf(queued)
 	return ok && p.pass.full[class] || p.lacksRoom(queued.Size, now)
@@ -73,7 +73,7 @@
 	}
 }
 
-// lacksRoom tells whether no machine has room for a task of the size: it need
+// lacksRoom reports whether no machine has room for a task of the size: it need
 // not be walked for, whatever it is bound to.
 func (p *Packer) lacksRoom(size placement.Resources, now time.Time) bool {
 	if p.pass.lacks[size] {
--- a/internal/packing/reservations.go
+++ b/internal/packing/reservations.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// mayReserve tells whether the machine has room, beside all reservations, for
+// mayReserve reports whether the machine has room, beside all reservations, for
 // another task of the hosted job.
 func (p *Packer) mayReserve(hosted *queue.Job, m *Machine, images queue.ImagePolicy, now time.Time) bool {
 	return (images == queue.ImageOptional || m.HasImage(hosted.Record.Job.Image)) && p.Fits(hosted, m, now) &&
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -26,7 +26,7 @@
 	Team       string
 	Rank       int  // of its priority; 0 is the highest
 	Guaranteed bool // whether its team stays within its guarantee with it
-	// AboveGuarantee tells whether a team uses more than it is guaranteed.
+	// AboveGuarantee reports whether a team uses more than it is guaranteed.
 	AboveGuarantee func(team string) bool
 }
 
@@ -88,7 +88,7 @@
 	return candidates
 }
 
-// mayStop tells whether the task may stop the victim: a higher priority may
+// mayStop reports whether the task may stop the victim: a higher priority may
 // stop a lower one, and a team that gets its guarantee may stop any work that
 // another runs above its own. What a team uses on other controllers' machines
 // is not known here, so their tasks are exempt from the latter.
--- a/internal/queue/job.go
+++ b/internal/queue/job.go
@@ -141,8 +141,8 @@
 	return min(longest, maxImageFetchTime)
 }
 
-// IsService tells whether the job's tasks run until it is cancelled.
+// IsService reports whether the job's tasks run until it is cancelled.
 func (j *Job) IsService() bool { return j.Record.Job.Kind == wire.KindService }
 
-// Eligible tells whether tasks of the job may be placed now.
+// Eligible reports whether tasks of the job may be placed now.
 func (j *Job) Eligible(now time.Time) bool { return j.Ready && !now.Before(j.NotBefore) }
--- a/internal/queue/order.go
+++ b/internal/queue/order.go
@@ -86,7 +86,7 @@
 	remaining float64
 }
 
-// SameTurn tells whether two jobs differ only in the work that is left.
+// SameTurn reports whether two jobs differ only in the work that is left.
 func (e Entry) SameTurn(other Entry) bool {
 	return e.priority == other.priority && e.excess == other.excess && e.urgency == other.urgency
 }
--- a/internal/queue/tasks.go
+++ b/internal/queue/tasks.go
@@ -38,7 +38,7 @@
 	return 0, false
 }
 
-// waits tells whether the task is neither done nor possibly on a machine.
+// waits reports whether the task is neither done nor possibly on a machine.
 func (j *Job) waits(index int) bool { return j.live[index] == 0 && !j.Done.Has(index) }
 
 // Dequeue removes the task that NextTask returned from the queue.
@@ -75,7 +75,7 @@
 	}
 }
 
-// HasAttempt tells whether an attempt of the task may be on a machine.
+// HasAttempt reports whether an attempt of the task may be on a machine.
 func (j *Job) HasAttempt(index int) bool { return j.live[index] > 0 }
 
 // LiveTasks counts the tasks of which an attempt may be on a machine.
@@ -100,14 +100,14 @@
 	}
 }
 
-// HasFailed tells whether a task has failed on any machine.
+// HasFailed reports whether a task has failed on any machine.
 func (j *Job) HasFailed() bool { return len(j.failedOn) > 0 }
 
-// FailsEverywhere tells whether the job itself rather than a machine seems to
+// FailsEverywhere reports whether the job itself rather than a machine seems to
 // be the reason for its failures.
 func (j *Job) FailsEverywhere() bool { return len(j.failedOn) >= failedMachines && !j.Succeeded }
 
-// Avoids tells whether the machine rather than the job seems to be the reason
+// Avoids reports whether the machine rather than the job seems to be the reason
 // for a failure of the job there.
 func (j *Job) Avoids(machine string) bool { return j.failedOn[machine] && !j.FailsEverywhere() }
 
--- a/internal/queue/teams.go
+++ b/internal/queue/teams.go
@@ -34,7 +34,7 @@
 // Used returns what the team uses.
 func (t *Teams) Used(team string) placement.Resources { return t.used[team] }
 
-// Guaranteed tells whether one more task of the job stays within its team's
+// Guaranteed reports whether one more task of the job stays within its team's
 // guarantee. Of a hosted job its owner says so.
 func (t *Teams) Guaranteed(j *Job) bool {
 	if j.Hosted {
@@ -45,7 +45,7 @@
 	return after.CPUs <= team.CPUs && after.GPUs <= team.GPUs
 }
 
-// WithinLimit tells whether so many more tasks of the job stay within its
+// WithinLimit reports whether so many more tasks of the job stay within its
 // team's limit.
 func (t *Teams) WithinLimit(j *Job, tasks int) bool {
 	team := t.settings[j.Record.Job.Team]
@@ -53,14 +53,14 @@
 	return (team.CPUsMax == 0 || after.CPUs <= team.CPUsMax) && (team.GPUsMax == 0 || after.GPUs <= team.GPUsMax)
 }
 
-// AboveGuarantee tells whether a team that has a guarantee or a limit uses more
+// AboveGuarantee reports whether a team that has a guarantee or a limit uses more
 // CPUs than it is guaranteed.
 func (t *Teams) AboveGuarantee(name string) bool {
 	team := t.settings[name]
 	return (team.CPUs > 0 || team.CPUsMax > 0) && t.used[name].CPUs > team.CPUs
 }
 
-// AnyAboveGuarantee tells whether AboveGuarantee holds for any team.
+// AnyAboveGuarantee reports whether AboveGuarantee holds for any team.
 func (t *Teams) AnyAboveGuarantee() bool {
 	for name := range t.settings {
 		if t.AboveGuarantee(name) {
--- a/internal/remote/denied.go
+++ b/internal/remote/denied.go
@@ -23,7 +23,7 @@
 	d.since[key] = now
 }
 
-// Denied tells whether an attempt was denied.
+// Denied reports whether an attempt was denied.
 func (d *DeniedAttempts) Denied(key fleet.Key) bool { return !d.since[key].IsZero() }
 
 // Expire forgets the attempts that were denied long ago.
--- a/internal/remote/history.go
+++ b/internal/remote/history.go
@@ -17,7 +17,7 @@
 	newest map[string]uint64 // by peer, the newest attempt that it has requested
 }
 
-// Accept tells whether a request is no late copy: all attempts that it names
+// Accept reports whether a request is no late copy: all attempts that it names
 // must be newer than those of the peer's requests before, since their numbers
 // rise and the peer requests each once. An accepted request is remembered.
 func (h *RequestHistory) Accept(req *peerpb.PlaceRequest) bool {
--- a/internal/remote/throttle.go
+++ b/internal/remote/throttle.go
@@ -49,7 +49,7 @@
 	return p
 }
 
-// Allows tells whether a peer may get a placement request now.
+// Allows reports whether a peer may get a placement request now.
 func (t *Throttle) Allows(node string, urgent bool, now time.Time) bool {
 	p := t.peer(node)
 	return !p.inFlight && (urgent || !now.Before(p.next)) && !now.Before(p.nextUrgent)
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -21,7 +21,7 @@
 	return s.opts.Workers.Command(ctx, address, req)
 }
 
-// needsDirectCommandLocked tells whether waiting for the next heartbeat would cost
+// needsDirectCommandLocked reports whether waiting for the next heartbeat would cost
 // time: stops make room for what waits.
 func (s *Scheduler) needsDirectCommandLocked(m *machine) bool {
 	for _, a := range m.Attempts.All() {
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -26,17 +26,17 @@
 	raisedAt      time.Time // when the token last rose
 }
 
-// sameAssignment tells whether two epochs assign the shards alike.
+// sameAssignment reports whether two epochs assign the shards alike.
 func sameAssignment(a, b *cluster.Epoch) bool {
 	return a.Leader == b.Leader && a.Incarnation == b.Incarnation && maps.Equal(a.Members, b.Members) && maps.Equal(a.Teams, b.Teams)
 }
 
-// ownsJobLocked tells whether a job is the scheduler's own by its epoch.
+// ownsJobLocked reports whether a job is the scheduler's own by its epoch.
 func (s *Scheduler) ownsJobLocked(j *wire.Job) bool {
 	return s.epoch.OwnerOf(j.Team, j.ID) == s.opts.Node
 }
 
-// leadsLocked tells whether this controller leads, as far as the scheduler has
+// leadsLocked reports whether this controller leads, as far as the scheduler has
 // followed the epoch.
 func (s *Scheduler) leadsLocked() bool { return s.loaded && s.epoch.Leader == s.opts.Node }
 
@@ -111,14 +111,14 @@
 	return gained
 }
 
-// acceptedInEpochLocked tells whether one of the scheduler's jobs was accepted under the
+// acceptedInEpochLocked reports whether one of the scheduler's jobs was accepted under the
 // shard assignment that it goes by: nobody else can have placed tasks of it, so
 // the records need not be read for it.
 func (s *Scheduler) acceptedInEpochLocked(record *job.Record) bool {
 	return s.loaded && record.Version > s.epoch.assigned.Version
 }
 
-// beginsToLeadLocked tells whether this controller leads the epoch, and did not
+// beginsToLeadLocked reports whether this controller leads the epoch, and did not
 // lead the epoch before.
 func (s *Scheduler) beginsToLeadLocked(epoch *cluster.Epoch) bool {
 	return epoch.Leader == s.opts.Node && s.epoch.Leader != s.opts.Node
@@ -177,7 +177,7 @@
 	}}
 }
 
-// currentLocked tells whether the epoch that the scheduler acts under is current.
+// currentLocked reports whether the epoch that the scheduler acts under is current.
 func (s *Scheduler) currentLocked() bool { return s.fenceLocked().Current() }
 
 // raiseTokenInterval is how often the fencing token may be raised.
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -76,7 +76,7 @@
 	})
 }
 
-// canHandOverLocked tells whether a machine can change to another controller:
+// canHandOverLocked reports whether a machine can change to another controller:
 // idle, and nothing that this one has sent can still come to it.
 func (s *Scheduler) canHandOverLocked(m *machine, now time.Time) bool {
 	return s.usableLocked(m, now) && m.Idle() && !m.record.Dirty && !m.commandPending && !m.RequestPending()
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -118,7 +118,7 @@
 	return false
 }
 
-// hasUnknownTasksLocked tells whether a heartbeat shows tasks, not yet being stopped,
+// hasUnknownTasksLocked reports whether a heartbeat shows tasks, not yet being stopped,
 // of jobs that are neither active nor known to be over.
 func (s *Scheduler) hasUnknownTasksLocked(heartbeat *wire.Heartbeat) bool {
 	m := s.machines[heartbeat.Machine]
@@ -151,7 +151,7 @@
 }
 
 // applyLocked takes a heartbeat, also one that answers a probe or a direct command.
-// It tells whether that was news.
+// It reports whether that was news.
 func (s *Scheduler) applyLocked(m *machine, heartbeat *wire.Heartbeat) bool {
 	if s.machines[m.Name] != m || heartbeat.Machine != m.Name {
 		return false
--- a/internal/scheduler/hostedattempts.go
+++ b/internal/scheduler/hostedattempts.go
@@ -56,7 +56,7 @@
 	return reply
 }
 
-// maySettleLocked tells whether this scheduler knows all that may be on its
+// maySettleLocked reports whether this scheduler knows all that may be on its
 // machines, as the membership that the sender means.
 func (s *Scheduler) maySettleLocked(req *peerpb.SettleRequest) bool {
 	adopting := s.epoch.Leader == s.opts.Node && s.adoptedToken < req.Token
--- a/internal/scheduler/hosting.go
+++ b/internal/scheduler/hosting.go
@@ -42,7 +42,7 @@
 	return reply
 }
 
-// mayHostLocked tells whether this scheduler may place for the sender: both
+// mayHostLocked reports whether this scheduler may place for the sender: both
 // must agree on who owns what.
 func (s *Scheduler) mayHostLocked(req *peerpb.PlaceRequest) bool {
 	return s.loaded && s.permitted() && req.Token <= s.epoch.Token && req.Token >= s.epoch.assignedToken &&
--- a/internal/scheduler/loadshedding.go
+++ b/internal/scheduler/loadshedding.go
@@ -17,7 +17,7 @@
 	overloadedFor = time.Minute
 )
 
-// overloadedLocked tells whether this controller was short of processor time
+// overloadedLocked reports whether this controller was short of processor time
 // lately.
 func (s *Scheduler) overloadedLocked(now time.Time) bool {
 	if s.detector.Busy(time.Now()) {
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -52,11 +52,11 @@
 	return m
 }
 
-// synced tells whether the worker has sent a heartbeat under the scheduler's
+// synced reports whether the worker has sent a heartbeat under the scheduler's
 // fencing token: then all that is on the machine is known.
 func (s *Scheduler) synced(m *machine) bool { return m.HeartbeatSeen && m.FencingToken >= m.syncToken }
 
-// acceptsLocked tells whether new tasks may go to the machine, if there is room.
+// acceptsLocked reports whether new tasks may go to the machine, if there is room.
 func (s *Scheduler) acceptsLocked(m *machine, now time.Time) bool {
 	kept := !m.returning && !m.returnIntent && !m.quarantined && m.Notice.IsZero()
 	return s.synced(m) && m.Type != nil && kept && !now.Before(m.placeNotBefore) &&
@@ -64,7 +64,7 @@
 		!s.detector.HeartbeatsMissing(&m.Worker, now)
 }
 
-// usableLocked tells whether new tasks may go to the machine at all.
+// usableLocked reports whether new tasks may go to the machine at all.
 func (s *Scheduler) usableLocked(m *machine, now time.Time) bool {
 	if !s.acceptsLocked(m, now) {
 		return false
@@ -88,7 +88,7 @@
 	}
 }
 
-// isReleasedLocked tells whether a machine was surely returned to the cloud, by
+// isReleasedLocked reports whether a machine was surely returned to the cloud, by
 // this scheduler or by another.
 func (s *Scheduler) isReleasedLocked(name string) bool {
 	if s.inventory.IsReleased(name) {
--- a/internal/scheduler/machinewatch.go
+++ b/internal/scheduler/machinewatch.go
@@ -123,7 +123,7 @@
 	return autoscale.NotReturned
 }
 
-// overdueLocked tells whether a cancelled job's task may still be there when
+// overdueLocked reports whether a cancelled job's task may still be there when
 // it must be gone soon, and its lease does not surely expire before.
 func (s *Scheduler) overdueLocked(m *machine, now time.Time) bool {
 	for _, a := range m.Attempts.All() {
@@ -140,7 +140,7 @@
 	return false
 }
 
-// keptByLeftoversLocked tells whether exited attempts alone keep an idle machine
+// keptByLeftoversLocked reports whether exited attempts alone keep an idle machine
 // from being handed over or returned.
 func (s *Scheduler) keptByLeftoversLocked(m *machine, now time.Time) bool {
 	return m.ActiveCount() == 0 && m.Attempts.Len() > 0 &&
--- a/internal/scheduler/options.go
+++ b/internal/scheduler/options.go
@@ -25,7 +25,7 @@
 	View() cluster.View
 	// Token returns the fencing token under which workers are commanded.
 	Token() uint64
-	// FencingToken tells whether the scheduler may answer and command workers now,
+	// FencingToken reports whether the scheduler may answer and command workers now,
 	// and under which fencing token.
 	FencingToken() (token uint64, ok bool)
 	// FencedSince returns since when surely no controller has answered a worker
@@ -38,14 +38,14 @@
 	// member.
 	Ownership() cluster.Ownership
 	// HeartbeatTarget returns the controller to which a machine's worker should send
-	// its heartbeats; owned tells whether the machine has an owner that is a member.
+	// its heartbeats; owned reports whether the machine has an owner that is a member.
 	HeartbeatTarget(machine string) (node string, owned bool)
 	// HostOf returns the member that owns a machine in an epoch.
 	HostOf(epoch *cluster.Epoch, machine string) string
-	// OwnerOf returns a machine's owner, member or not; named tells whether any
+	// OwnerOf returns a machine's owner, member or not; named reports whether any
 	// transfer names the machine.
 	OwnerOf(machine string) (owner cluster.Owner, named bool)
-	// Fresh tells whether every transfer of an older epoch has been seen.
+	// Fresh reports whether every transfer of an older epoch has been seen.
 	Fresh() bool
 	// NewTransfer returns the write that makes node the owner of machines, given by
 	// name with their records, or, with node "", marks them as released; ok is false
@@ -93,7 +93,7 @@
 	Active(id string) *job.Record
 	// AllActive returns the records of all active jobs.
 	AllActive() []*job.Record
-	// Ended tells whether a job is known to be over, without a read of the store.
+	// Ended reports whether a job is known to be over, without a read of the store.
 	Ended(id string) bool
 	// Readiness returns whether a job's dependencies are done, and its effective
 	// priority.
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -62,7 +62,7 @@
 	return s.findAnyLocked(queued, now), false
 }
 
-// defersFetchLocked tells whether a job leaves a machine that would have to
+// defersFetchLocked reports whether a job leaves a machine that would have to
 // fetch its image to others whose image it holds: for as long as the fetch
 // would take, since then waiting has cost as much, and whenever one before it
 // in the same turn does.
@@ -109,7 +109,7 @@
 // fetched.
 const imageWaitTimeout = 300 * time.Millisecond
 
-// awaitImageLocked tells whether the other schedulers may still answer that they have
+// awaitImageLocked reports whether the other schedulers may still answer that they have
 // room beside the job's image.
 func (s *Scheduler) awaitImageLocked(queued *queue.Job, now time.Time) bool {
 	if queued.Record.Job.Kind != wire.KindService || len(s.epoch.Members) < 2 {
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -26,7 +26,7 @@
 	aboveGuarantee bool // whether any team is above its guarantee
 }
 
-// mayPreemptAnyLocked tells whether there can be any task that the job may
+// mayPreemptAnyLocked reports whether there can be any task that the job may
 // have stopped: looking for the best on every machine takes long.
 func (s *Scheduler) mayPreemptAnyLocked(queued *queue.Job, guaranteed bool) bool {
 	if !s.victims.known {
@@ -50,7 +50,7 @@
 
 // preemptLocked stops tasks to make room for one task of the job, as far as
 // the rules of preemption permit, on the machine where that loses least. It
-// tells whether room is being made. guaranteed is whether the job's team stays
+// reports whether room is being made. guaranteed is whether the job's team stays
 // within its guarantee with the task.
 func (s *Scheduler) preemptLocked(queued *queue.Job, now time.Time, images queue.ImagePolicy, guaranteed bool) bool {
 	if !s.mayPreemptAnyLocked(queued, guaranteed) {
@@ -110,7 +110,7 @@
 	s.sendCommandsLocked(m)
 }
 
-// stoppingLocked tells whether any task is being stopped.
+// stoppingLocked reports whether any task is being stopped.
 func (s *Scheduler) stoppingLocked() bool {
 	for _, m := range s.machines {
 		for _, a := range m.Attempts.All() {
--- a/internal/scheduler/rebalancing.go
+++ b/internal/scheduler/rebalancing.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// gathersForGangLocked tells whether a gang of this scheduler waits for machines.
+// gathersForGangLocked reports whether a gang of this scheduler waits for machines.
 func (s *Scheduler) gathersForGangLocked() bool {
 	for _, queued := range s.jobs {
 		if queued.Record.Job.Kind == wire.KindGang && !queued.UnplacedSince.IsZero() {
@@ -82,7 +82,7 @@
 	}
 }
 
-// hasJobs tells whether the member has jobs to place.
+// hasJobs reports whether the member has jobs to place.
 func (s *Scheduler) hasJobs(node string) bool {
 	for _, r := range s.opts.Jobs.AllActive() {
 		if s.epoch.OwnerOf(r.Job.Team, r.Job.ID) == node {
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// gainsLimitLocked tells whether a team whose limit this scheduler keeps under an
+// gainsLimitLocked reports whether a team whose limit this scheduler keeps under an
 // epoch was another's: what may still run of it, also of jobs that are over, counts.
 func (s *Scheduler) gainsLimitLocked(epoch *cluster.Epoch) bool {
 	for name := range s.teams.Limited() {
--- a/internal/scheduler/remoteplacement.go
+++ b/internal/scheduler/remoteplacement.go
@@ -80,7 +80,7 @@
 	return waiting, urgent
 }
 
-// mayGoElsewhereLocked tells whether a task of the job may be placed now, on any
+// mayGoElsewhereLocked reports whether a task of the job may be placed now, on any
 // controller's machines.
 func (s *Scheduler) mayGoElsewhereLocked(queued *queue.Job, now time.Time) bool {
 	return queued.Pending() > 0 && s.teams.WithinLimit(queued, 1) && !now.Before(queued.NotBefore) && !queued.FailsEverywhere()
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -146,7 +146,7 @@
 	})
 }
 
-// permitted tells whether the scheduler may act for its machines now.
+// permitted reports whether the scheduler may act for its machines now.
 func (s *Scheduler) permitted() bool {
 	_, ok := s.opts.Authority.FencingToken()
 	return ok
--- a/internal/scheduler/tokensync.go
+++ b/internal/scheduler/tokensync.go
@@ -50,7 +50,7 @@
 	s.syncNextWorkersLocked()
 }
 
-// mustStop tells whether a cancelled job's task may be on the machine: sending
+// mustStop reports whether a cancelled job's task may be on the machine: sending
 // its worker the token, and with it the stop, does not wait for its turn.
 func (m *machine) mustStop() bool {
 	for _, a := range m.Attempts.All() {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -36,7 +36,7 @@
 	MachineTypes func() []wire.MachineType
 	// HandleHeartbeat takes a worker's heartbeat.
 	HandleHeartbeat func(heartbeat *wire.Heartbeat) HeartbeatResult
-	// Ready tells whether this controller can take requests.
+	// Ready reports whether this controller can take requests.
 	Ready func() bool
 	// SchedulingLatency returns how long goroutines of this process lately waited
 	// for the processor.
--- a/internal/standin/checker.go
+++ b/internal/standin/checker.go
@@ -67,10 +67,10 @@
 	dependencies    []*trackedJob
 }
 
-// isDone tells whether all tasks of the job have ended well.
+// isDone reports whether all tasks of the job have ended well.
 func (j *trackedJob) isDone() bool { return len(j.done) >= j.job.Tasks }
 
-// anyDependency tells whether a condition holds for the job or any job that it depends on,
+// anyDependency reports whether a condition holds for the job or any job that it depends on,
 // directly or not.
 func (j *trackedJob) anyDependency(condition func(*trackedJob) bool) bool {
 	seen := map[*trackedJob]bool{j: true}
@@ -88,7 +88,7 @@
 	return false
 }
 
-// wasCancelRequested tells whether a user has cancelled the job itself.
+// wasCancelRequested reports whether a user has cancelled the job itself.
 func wasCancelRequested(j *trackedJob) bool { return j.cancelRequested }
 
 // NewChecker returns a Checker that has seen nothing and checks no limit.
--- a/internal/standin/checker_answers.go
+++ b/internal/standin/checker_answers.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// fitsType tells whether a task of the job can run on an empty machine of a type.
+// fitsType reports whether a task of the job can run on an empty machine of a type.
 func fitsType(job *wire.Job, t *wire.MachineType) bool {
 	return (len(job.Types) == 0 || slices.Contains(job.Types, t.Name)) && (job.Zone == nil || slices.Contains(t.Zones, *job.Zone)) &&
 		job.CPUs <= t.CPUs && job.GPUs <= t.GPUs && job.MemoryGB <= t.MemoryGB
@@ -113,7 +113,7 @@
 	j.reported = state
 }
 
-// cancelOverdue tells whether the time is over in which a cancelled job's tasks must be
+// cancelOverdue reports whether the time is over in which a cancelled job's tasks must be
 // gone.
 func (c *Checker) cancelOverdue(j *trackedJob) bool {
 	return c.CancelTimeout > 0 && !j.cancelled.IsZero() && time.Since(j.cancelled) > c.CancelTimeout
--- a/internal/standin/checker_tasks.go
+++ b/internal/standin/checker_tasks.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// allowsLocked tells whether a job allows one more task at a location, with its other tasks
+// allowsLocked reports whether a job allows one more task at a location, with its other tasks
 // where they run.
 func (c *Checker) allowsLocked(j *trackedJob, id string, at Location) bool {
 	if !j.submitted {
@@ -93,7 +93,7 @@
 	return !job.Spread || inZone <= (job.Tasks+1)/2
 }
 
-// Ended takes note that a task no longer runs; done tells whether it ended well.
+// Ended takes note that a task no longer runs; done reports whether it ended well.
 func (c *Checker) Ended(task string, done bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/checker_waiting.go
+++ b/internal/standin/checker_waiting.go
@@ -41,7 +41,7 @@
 	return waiting
 }
 
-// isReady tells whether the job's tasks may run: it is accepted and not over, no user has
+// isReady reports whether the job's tasks may run: it is accepted and not over, no user has
 // cancelled it or a job that it depends on, and those are done.
 func (j *trackedJob) isReady() bool {
 	blocked := slices.ContainsFunc(j.dependencies, func(dependency *trackedJob) bool { return !dependency.isDone() })
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -127,7 +127,7 @@
 	f.partition = partition{zone, node}
 }
 
-// reachableLocked tells whether messages pass between a controller and a worker.
+// reachableLocked reports whether messages pass between a controller and a worker.
 func (f *Fleet) reachableLocked(node string, w *Worker) bool {
 	if f.isolated[node] {
 		return false
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -35,7 +35,7 @@
 	RunFor func(task string) time.Duration
 	// Ended, if set, is called in a goroutine of its own for each task that is done.
 	Ended func(task string)
-	// Fails, if set, tells whether a job's tasks fail on a machine.
+	// Fails, if set, reports whether a job's tasks fail on a machine.
 	Fails func(job, machine string) bool
 	// DeliverHeartbeat delivers a worker's heartbeat to a controller.
 	DeliverHeartbeat func(node string, heartbeat *wire.Heartbeat) HeartbeatResponse
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -19,7 +19,7 @@
 	node  string
 }
 
-// blocked tells whether no message passes between the controller and a worker; if so it
+// blocked reports whether no message passes between the controller and a worker; if so it
 // waits until ctx ends.
 func (l *Link) blocked(ctx context.Context, address string) bool {
 	l.fleet.mu.Lock()
--- a/internal/standin/state_limits.go
+++ b/internal/standin/state_limits.go
@@ -13,7 +13,7 @@
 	maxTxnBytes     = 64 << 10 // of the encoded transaction
 )
 
-// rateExceededLocked takes a request with so many changes of the burst, and tells whether
+// rateExceededLocked takes a request with so many changes of the burst, and reports whether
 // it exceeds the rate limits; then nothing is taken.
 func (s *State) rateExceededLocked(writes int) bool {
 	if s.RequestRate == 0 {
@@ -32,7 +32,7 @@
 	return true
 }
 
-// tooLargeLocked tells whether a transaction exceeds the limits of size.
+// tooLargeLocked reports whether a transaction exceeds the limits of size.
 func (s *State) tooLargeLocked(txn wire.Txn) bool {
 	if s.MaxTxnOps > 0 && (len(txn.Then) > s.MaxTxnOps || len(txn.If) > conditionsPerOp*s.MaxTxnOps || len(encode(txn)) > maxTxnBytes) {
 		return true
