--- a/cmd/failovertest/main.go
+++ b/cmd/failovertest/main.go
@@ -116,7 +116,8 @@
 func (r *runCommand) print(total failovertest.Result, took time.Duration) {
 	checks := total.Checks
 	fmt.Printf("%d handovers in %v, lease %v, duties on: %v\n", total.Handovers, took.Round(time.Second), r.Lease, !r.Unfenced)
-	fmt.Printf("accepted: %d machines rented, %d returned; late: %d, after a refusal: %d, stale: %d\n", checks.Rented, checks.Returned, checks.Late, checks.AfterRefusal, checks.Stale)
+	fmt.Printf("accepted: %d machines rented, %d returned; late: %d, after a refusal: %d, stale: %d\n",
+		checks.Rented, checks.Returned, checks.Late, checks.AfterRefusal, checks.Stale)
 	fmt.Printf("intents left open: %d, handovers timed out: %d\n", total.OpenIntents, total.TimedOut)
 	for point := range failovertest.NumFreezePoints {
 		fmt.Printf("frozen %s: %d\n", point, total.FrozenAt[point])
--- a/cmd/heronwick/metrics.go
+++ b/cmd/heronwick/metrics.go
@@ -75,8 +75,11 @@
 			Value: func() float64 { return float64(d.ledger.OpenIntents().Rentals) }},
 	}
 	for _, kind := range duty.Kinds() {
-		gauges = append(gauges, server.Gauge{Name: "heronwick_duty_" + string(kind), Help: "Events of this kind at this controller since it started; see the operators' page.",
-			Value: func() float64 { return float64(d.history.Count(kind)) }})
+		gauges = append(gauges, server.Gauge{
+			Name:  "heronwick_duty_" + string(kind),
+			Help:  "Events of this kind at this controller since it started; see the operators' page.",
+			Value: func() float64 { return float64(d.history.Count(kind)) },
+		})
 	}
 	return gauges
 }
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -96,7 +96,7 @@
 		nodes = append(nodes, node)
 	}
 	if size := largestEpoch(nodes, c.opts.Teams); c.opts.MaxValueBytes > 0 && size > c.opts.MaxValueBytes {
-		c.opts.Log.Warn("the epoch does not fit a value of the state service: no leader can be elected. Fewer teams, shorter names or larger values are needed",
+		c.opts.Log.Warn("the epoch does not fit a value of the key-value store: no leader can be elected. Fewer teams, shorter names or larger values are needed",
 			"bytes", size, "limit", c.opts.MaxValueBytes, "teams", len(c.opts.Teams))
 	}
 }
--- a/internal/cluster/confirmation.go
+++ b/internal/cluster/confirmation.go
@@ -74,7 +74,7 @@
 	}
 	c.confirmationExpired = expired
 	if expired {
-		c.opts.Log.Warn("epoch confirmation expired: no worker is answered until the state service or a majority confirms the epoch again",
+		c.opts.Log.Warn("epoch confirmation expired: no worker is answered until the key-value store or a majority confirms the epoch again",
 			"token", c.epoch.Token, "since", time.Since(c.confirmedAt), "peers_heard", len(c.heardPeersLocked()))
 	} else {
 		c.opts.Log.Info("epoch confirmed again, or no longer a member", "token", c.epoch.Token)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// Limits of the state service that are announced count from the start where they
+// Limits of the key-value store that are announced count from the start where they
 // are lower; wrong ones are named like all else.
 func TestAnnouncedLimits(t *testing.T) {
 	next := func(text string) string {
--- a/internal/duty/doc.go
+++ b/internal/duty/doc.go
@@ -1,7 +1,7 @@
 // Package duty makes sure that at most one controller at a time rents machines, returns
 // them, reclaims unused ones or removes records.
 //
-// A controller holds a duty under a lease of the state service and with a fencing token.
+// A controller holds a duty under a lease of the key-value store and with a fencing token.
 // The cloud does not check fencing tokens, so checking the lease before each request is
 // not enough: the sender may be paused between the check and the request, or the network
 // may deliver the request minutes later. Every action is therefore preceded by an intent,
--- a/internal/duty/history.go
+++ b/internal/duty/history.go
@@ -26,7 +26,11 @@
 
 // Kinds lists the kinds of events.
 func Kinds() []EventKind {
-	return []EventKind{EventAcquired, EventLost, EventRefused, EventReturnRecorded, EventReturned, EventUnrecorded, EventRentalRecorded, EventRented, EventClosed}
+	return []EventKind{
+		EventAcquired, EventLost, EventRefused,
+		EventReturnRecorded, EventReturned, EventUnrecorded,
+		EventRentalRecorded, EventRented, EventClosed,
+	}
 }
 
 const (
--- a/internal/duty/keeper.go
+++ b/internal/duty/keeper.go
@@ -12,7 +12,7 @@
 	"heronwick/wire"
 )
 
-// Store is the part of the state service's client that this package needs.
+// Store is the part of the key-value store's client that this package needs.
 type Store interface {
 	// Txn carries out a transaction and returns the store's revision after it.
 	Txn(ctx context.Context, p state.Priority, txn wire.Txn) (revision uint64, err error)
--- a/internal/duty/record.go
+++ b/internal/duty/record.go
@@ -7,7 +7,7 @@
 	"heronwick/wire"
 )
 
-// Keys of the state service that this package owns. They lie below the prefix that
+// Keys of the key-value store that this package owns. They lie below the prefix that
 // package cluster watches, so a watch delivers them in one order with the epoch: a
 // controller that has seen an epoch has seen every intent written under an older one.
 const (
--- a/internal/duty/session.go
+++ b/internal/duty/session.go
@@ -12,7 +12,7 @@
 // session is the lease under which this controller holds all its duties, and the key that
 // is attached to it.
 type session struct {
-	lease   uint64    // ID at the state service; 0: there is none
+	lease   uint64    // ID at the key-value store; 0: there is none
 	version uint64    // of the session key
 	until   time.Time // the lease has not expired before then
 }
--- a/internal/failovertest/checker.go
+++ b/internal/failovertest/checker.go
@@ -65,7 +65,10 @@
 // NewChecker returns a Checker for a fleet of at most capacity machines. fenced tells
 // whether duties are on.
 func NewChecker(state *standin.State, capacity int, fenced bool) *Checker {
-	return &Checker{state: state, capacity: capacity, fenced: fenced, machines: map[string]bool{}, answered: map[string][]string{}, refused: map[string]bool{}}
+	return &Checker{
+		state: state, capacity: capacity, fenced: fenced,
+		machines: map[string]bool{}, answered: map[string][]string{}, refused: map[string]bool{},
+	}
 }
 
 // Counts returns the counts so far.
--- a/internal/failovertest/proxy.go
+++ b/internal/failovertest/proxy.go
@@ -30,7 +30,14 @@
 )
 
 // freezePointNames are the names of the points, by point.
-var freezePointNames = [NumFreezePoints]string{"reading", "before a write", "before a write's answer", "before a request", "before a request's answer", "while closing an intent"}
+var freezePointNames = [NumFreezePoints]string{
+	"reading",
+	"before a write",
+	"before a write's answer",
+	"before a request",
+	"before a request's answer",
+	"while closing an intent",
+}
 
 // String returns the point's name.
 func (p FreezePoint) String() string { return freezePointNames[p] }
--- a/internal/httpcall/doc.go
+++ b/internal/httpcall/doc.go
@@ -1,3 +1,3 @@
 // Package httpcall sends single HTTP requests with JSON bodies, as the clients of the
-// state service, the cloud and the workers do.
+// key-value store, the cloud and the workers do.
 package httpcall
--- a/internal/job/dependencies_test.go
+++ b/internal/job/dependencies_test.go
@@ -15,7 +15,7 @@
 	"heronwick/wire"
 )
 
-// storeCluster makes the stores of several controllers over one state service.
+// storeCluster makes the stores of several controllers over one key-value store.
 type storeCluster struct {
 	*testing.T
 	ctx     context.Context
--- a/internal/job/helpers_test.go
+++ b/internal/job/helpers_test.go
@@ -12,13 +12,13 @@
 	"heronwick/wire"
 )
 
-// newStore makes a store on a state service of its own, with so many writes a second
+// newStore makes a store on a key-value store of its own, with so many writes a second
 // and changes in a transaction, and returns the client that it writes with.
 func newStore(writesPerSecond float64, txnChanges int) (*state.Client, *job.Store) {
 	return newStoreOn(standin.NewState(), 50, writesPerSecond, txnChanges)
 }
 
-// newStoreOn makes a store on a state service that others may use too, and returns the
+// newStoreOn makes a store on a key-value store that others may use too, and returns the
 // client that it writes with.
 func newStoreOn(service *standin.State, requestsPerSecond, writesPerSecond float64, txnChanges int) (*state.Client, *job.Store) {
 	client := state.NewClient(service.Connect("a"), state.NewBudget(requestsPerSecond, writesPerSecond, txnChanges))
--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Budget is this controller's part of the state service's request and write
+// Budget is this controller's part of the key-value store's request and write
 // limits. Waiters are served by priority, then in order of arrival. It is safe
 // for concurrent use.
 //
--- a/internal/state/commit_test.go
+++ b/internal/state/commit_test.go
@@ -21,7 +21,7 @@
 	return state.Write{If: []wire.Condition{{Key: key, Version: version}}, Then: []wire.Change{{Put: key, Value: text}}}
 }
 
-// limits are those of the state service, a second, and of a transaction.
+// limits are those of the key-value store, a second, and of a transaction.
 type limits struct {
 	requests, writes float64
 	txnChanges       int
--- a/internal/state/errors.go
+++ b/internal/state/errors.go
@@ -10,13 +10,13 @@
 // not carried out; one that failed with ErrUnknown may have been, or may still
 // be.
 var (
-	ErrUnavailable = errors.New("state service unavailable")
-	ErrUnknown     = errors.New("no response from the state service")
+	ErrUnavailable = errors.New("key-value store unavailable")
+	ErrUnknown     = errors.New("no response from the key-value store")
 	ErrNotFound    = errors.New("no such key or lease")
 	ErrCompacted   = errors.New("the watched revision is too old")
 	// ErrRejected means that the service will never carry the request out as it
 	// is, for example because it is larger than the service's limits.
-	ErrRejected = errors.New("rejected by the state service")
+	ErrRejected = errors.New("rejected by the key-value store")
 	// ErrNotSent means that a Transport surely did not send the request: there
 	// was no connection.
 	ErrNotSent = errors.New("not sent")
--- a/internal/state/failover.go
+++ b/internal/state/failover.go
@@ -12,7 +12,7 @@
 // failed.
 const directRetryInterval = time.Second
 
-// FailoverTransport prefers the direct path to the state service and sends
+// FailoverTransport prefers the direct path to the key-value store and sends
 // requests through a peer while the direct path fails: one controller alone can
 // be refused or cut off while the others are served.
 type FailoverTransport struct {
--- a/internal/state/priority.go
+++ b/internal/state/priority.go
@@ -1,6 +1,6 @@
 package state
 
-// Priority orders the requests of one controller to the state service. Lower
+// Priority orders the requests of one controller to the key-value store. Lower
 // values are served first.
 type Priority int
 
--- a/internal/state/reread.go
+++ b/internal/state/reread.go
@@ -7,7 +7,7 @@
 	"heronwick/wire"
 )
 
-// Reader reads one key of the state service.
+// Reader reads one key of the key-value store.
 type Reader interface {
 	Get(ctx context.Context, p Priority, key string) (wire.Item, error)
 }
--- a/internal/state/transport.go
+++ b/internal/state/transport.go
@@ -12,13 +12,13 @@
 	"heronwick/internal/httpcall"
 )
 
-// Response is the state service's response to one request.
+// Response is the key-value store's response to one request.
 type Response struct {
 	Status int // HTTP status
 	Body   []byte
 }
 
-// Transport carries one request to the state service and returns its response. An
+// Transport carries one request to the key-value store and returns its response. An
 // error means that no response came.
 type Transport interface {
 	Do(ctx context.Context, method, target string, body []byte) (Response, error)
@@ -33,12 +33,12 @@
 	idleConnectionTimeout = time.Minute
 )
 
-// HTTPTransport sends requests straight to the state service.
+// HTTPTransport sends requests straight to the key-value store.
 type HTTPTransport struct {
 	client *fasthttp.HostClient
 }
 
-// NewHTTPTransport makes a Transport to the state service at addr.
+// NewHTTPTransport makes a Transport to the key-value store at addr.
 func NewHTTPTransport(addr string) *HTTPTransport {
 	return &HTTPTransport{client: &fasthttp.HostClient{
 		Addr:                          addr,
--- a/wire/state.go
+++ b/wire/state.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// Paths of the state service, the consensus-backed key-value store.
+// Paths of the consensus-backed key-value store.
 const (
 	PathKeys    = "/keys"
 	PathTxn     = "/txn"
