--- a/internal/duty/lease.go
+++ b/internal/duty/lease.go
@@ -31,8 +31,8 @@
 )
 
 // CheckLease returns ErrLeaseOutOfRange if a lease for duties cannot be kept; 0 turns
-// duties off and is accepted. controllers is how many controllers share the state
-// service's limit of rps requests a second.
+// duties off and is accepted. controllers is how many controllers share the
+// key-value store's limit of rps requests a second.
 func CheckLease(lease time.Duration, controllers int, rps float64) error {
 	renewals := float64(controllers * renewalsPerLease)
 	shortest := max(MinLease, time.Duration(renewals/(renewalShare*rps)*float64(time.Second)))
