--- /dev/null
+++ b/internal/scheduler/checkpoints_test.go
@@ -0,0 +1,124 @@
+package scheduler
+
+import (
+	"fmt"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"heronwick/internal/fleet"
+	"heronwick/internal/recovery"
+	"heronwick/wire"
+)
+
+// The end of a job is fenced by the epoch under which its scheduler counted its tasks,
+// and known to be outdated once that has changed.
+func TestJobEndIsFencedByEpoch(t *testing.T) {
+	s, p, _ := newTestScheduler(t)
+	queued := s.addJobLocked(p.add("job", "ours", wire.PriorityNormal, 1, 1))
+	queued.Done.Add(0)
+	condition := p.View().Condition
+	s.finishLocked(queued)
+	if err := s.group.Wait(); err != nil {
+		t.Fatal(err)
+	}
+	if len(p.fences) != 1 || p.fences[0].Condition != condition || !p.fences[0].Current() {
+		t.Fatalf("job end: got fences %v, want the current epoch's only", p.fences)
+	}
+	p.epoch.Token++
+	if p.fences[0].Current() {
+		t.Error("fence under the next epoch: got it current, want it outdated")
+	}
+}
+
+// A machine whose record is on two buckets, as after it has changed hands, keeps
+// the newer one until its own bucket holds it: whatever is written first, the
+// store always names what may be on the machine.
+func TestRecordSurvivesMoveToAnotherBucket(t *testing.T) {
+	for _, current := range []string{"machines/old/1/1", "machines/old/1/2"} {
+		synctest.Test(t, func(t *testing.T) {
+			s, p, _ := newTestScheduler(t)
+			p.add("wk-1", "ours", wire.PriorityNormal, 1, 1)
+			s.addJobLocked(p.active["wk-1"])
+			stored := map[string]fleet.RecordBucket{}
+			r := recovery.Records{}
+			for _, key := range []string{"machines/old/1/1", "machines/old/1/2"} {
+				bucket := fleet.RecordBucket{Machines: map[string]fleet.Record{"m2": {Address: "m2", Type: "m", Zone: "z", Incarnation: 1}}}
+				if key == current {
+					bucket.Machines["m2"] = fleet.Record{Address: "m2", Type: "m", Zone: "z", Incarnation: 1, Attempts: map[string]uint64{"wk-1/0": 9}}
+				}
+				stored[key] = bucket
+				r.Buckets = append(r.Buckets, recovery.Bucket{RecordBucket: bucket, Key: key, Version: 3, Size: 100})
+			}
+			s.mu.Lock() // the worker is asked meanwhile
+			s.placeRecordsLocked(r, nil, map[string]bool{"wk-1": true}, time.Now())
+			s.mu.Unlock()
+			for range 3 {
+				s.mu.Lock()
+				s.tidyRecordsLocked(time.Now())
+				s.recordPlacementsLocked()
+				s.mu.Unlock()
+				synctest.Wait()
+				for _, w := range p.writes {
+					for _, change := range w.Then {
+						delete(stored, change.Delete)
+						if change.Put != "" {
+							bucket, err := fleet.ReadBucket(change.Put, change.Value)
+							if err != nil {
+								t.Fatal(err)
+							}
+							stored[change.Put] = bucket
+						}
+					}
+					found := false
+					for _, bucket := range stored {
+						found = found || bucket.Machines["m2"].Attempts["wk-1/0"] == 9
+					}
+					if !found {
+						t.Fatalf("current in bucket %s: got no record of what may be on the machine, want one", current)
+					}
+				}
+				p.writes = nil
+			}
+			if len(stored) != 1 {
+				t.Errorf("current in bucket %s: got %d buckets that name the machine in the end, want 1", current, len(stored))
+			}
+		})
+	}
+}
+
+// There are journals enough for the tasks that run on a scheduler's machines: else
+// they are full all the time, and the machines' buckets, which are many, are
+// written again and again.
+func TestJournalsHoldWhatRuns(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s, p := newLargeScheduler(400)
+		s.opts.Settings.MaxValueBytes = 6 << 10
+		for i := range 30 {
+			r := p.add(fmt.Sprintf("wk-%06d", i), "ours", wire.PriorityNormal, 10, 16)
+			r.Job.Spot = true
+			s.mu.Lock()
+			s.addJobLocked(r)
+			s.scheduleLocked(time.Now())
+			s.recordPlacementsLocked()
+			s.mu.Unlock()
+			time.Sleep(45 * time.Millisecond)
+		}
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		buckets := 0
+		for _, w := range p.writes {
+			for _, c := range w.Then {
+				if !fleet.IsJournal(c.Put) {
+					buckets++
+				}
+			}
+		}
+		if n := len(s.packer.Open.Order()); n != 300 {
+			t.Errorf("%d of 300 machines have a task", n)
+		}
+		if buckets > 0 {
+			t.Errorf("%d writes of buckets beside %d of journals", buckets, len(p.writes))
+		}
+	})
+}
--- /dev/null
+++ b/internal/scheduler/rebuild_test.go
@@ -0,0 +1,124 @@
+package scheduler
+
+import (
+	"context"
+	"encoding/json"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"heronwick/internal/cluster"
+	"heronwick/internal/fleet"
+	"heronwick/internal/job"
+	"heronwick/internal/placement"
+	"heronwick/wire"
+)
+
+// A job that was accepted under the present shard assignment, and that the scheduler finds
+// before it is told of it, is queued without reading the records of all machines.
+// One that was accepted before it may have been placed, so they are read.
+func TestOnlyEarlierJobsNeedRebuild(t *testing.T) {
+	s, p, _ := newTestScheduler(t)
+	s.mu.Lock() // a rebuild waits for it
+	defer s.mu.Unlock()
+	accepted := p.add("accepted", "ours", wire.PriorityNormal, 1, 1)
+	accepted.Version = p.epoch.Token + 1
+	p.listed = []*job.Record{accepted}
+	s.followEpochLocked()
+	if s.rebuilding || s.jobs["accepted"] == nil {
+		t.Errorf("later job: got rebuilding %v and queued %v, want it queued without a rebuild", s.rebuilding, s.jobs["accepted"] != nil)
+	}
+	earlier := p.add("earlier", "ours", wire.PriorityNormal, 1, 1)
+	earlier.Version = p.epoch.Token - 1
+	p.listed = append(p.listed, earlier)
+	s.followEpochLocked()
+	if !s.rebuilding || s.jobs["earlier"] != nil {
+		t.Errorf("earlier job: got rebuilding %v and queued %v, want a rebuild first", s.rebuilding, s.jobs["earlier"] != nil)
+	}
+}
+
+// What may still run of a cancelled job counts for whoever owns its team next,
+// though nobody gains the job (quota: a team at its limit, machines that cannot
+// be asked, a cancellation, and a change of leader).
+func TestTasksOfEndedJobsCountForNextOwner(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s, p, m := newTestScheduler(t)
+		for i, id := range []string{"wk-000001", "wk-000002"} { // one is over, the other active and another's
+			a := &fleet.Attempt{Key: fleet.Key{Task: id + "/0", Attempt: uint64(7 + i)}, Job: id, Team: "theirs", Sized: true,
+				Size: placement.Resources{CPUs: 2}, Durable: true, Hosted: true, Stop: i == 0}
+			m.Add(a, time.Now())
+		}
+		p.active["wk-000002"] = &job.Record{}
+		view := p.View()
+		view.Epoch.Token++
+		view.Epoch.Teams = map[string]string{"ours": "me", "theirs": "me"}
+		p.epoch = view.Epoch
+		s.rebuild(context.Background(), view, nil, nil)
+		if used := s.teams.Used("theirs").CPUs; used != 2 {
+			t.Errorf("got %v CPUs counted for the team, want the 2 of the job that has ended", used)
+		}
+	})
+}
+
+// A rebuild goes by one epoch, though the next begins under way. By the old
+// one a machine and the journal with its record are a peer's; had the machine
+// been taken by the new one, the journal would have been removed as nobody's, and
+// the next to take the machine over would not know what runs there (ran_twice).
+func TestRebuildFollowsOneEpoch(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s, p, _ := newTestScheduler(t)
+		s.loaded = false
+		value, err := json.Marshal(fleet.RecordBucket{Machines: map[string]fleet.Record{"m9": {Address: "m9", Incarnation: 1, Attempts: map[string]uint64{"wk-000001/0": 7}}}})
+		if err != nil {
+			t.Fatal(err)
+		}
+		p.active["wk-000001"] = &job.Record{Job: wire.Job{ID: "wk-000001", Team: "ours", Tasks: 1}}
+		p.items = []wire.Item{{Key: fleet.JournalKey("peer", 3, 0), Value: value, Version: 9}}
+		p.since = map[string]uint64{"m9": 3}
+		old := p.View()
+		old.Epoch.Leader = "me"
+		old.Epoch.Members = map[string]cluster.Member{"me": {Incarnation: 1, Since: 1}, "peer": {Incarnation: 2, Since: 3}}
+		p.epoch = old.Epoch
+		s.rebuild(context.Background(), old, nil, nil)
+		if s.machines["m9"] != nil || s.checkpoints.Bucket(p.items[0].Key) != nil {
+			t.Error("got a machine or a journal of another member taken over, want neither")
+		}
+		next := old.Epoch
+		next.Token++
+		next.Members = map[string]cluster.Member{"me": {Incarnation: 1, Since: 1}}
+		p.epoch = next
+		s.rebuild(context.Background(), p.View(), nil, []string{"m9"})
+		var kept fleet.Record
+		m, journal := s.machines["m9"], s.checkpoints.Bucket(p.items[0].Key)
+		if journal != nil {
+			kept, _ = journal.Kept("m9")
+		}
+		if m == nil || kept.Attempts["wk-000001/0"] != 7 {
+			t.Errorf("got machine %v and journal %v, want both, with the record kept", m, journal)
+		}
+	})
+}
+
+// A machine is given to a peer, the answer of the store is lost, and the peer has
+// already placed on it when its job becomes this scheduler's: what the record says is
+// known, though the handover is still under way here (ran_twice).
+func TestRebuildKnowsMachinesBeingTransferred(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s, p, _ := newTestScheduler(t)
+		value, err := json.Marshal(fleet.RecordBucket{Machines: map[string]fleet.Record{"m9": {Address: "m9", Incarnation: 1, Attempts: map[string]uint64{"wk-000001/0": 7}}}})
+		if err != nil {
+			t.Fatal(err)
+		}
+		gained := p.add("wk-000001", "ours", wire.PriorityNormal, 1, 1)
+		p.items = []wire.Item{{Key: fleet.JournalKey("peer", 4, 0), Value: value, Version: 9}}
+		p.since = map[string]uint64{"m9": 4}
+		s.transfers.BeginMove("m9")
+		s.rebuild(context.Background(), p.View(), []*job.Record{gained}, nil)
+		if s.remoteAttempts.Get(fleet.Key{Task: "wk-000001/0", Attempt: 7}) == nil {
+			t.Error("got no attempt on the transferred machine, want the recorded one")
+		}
+		if s.machines["m9"] != nil {
+			t.Error("got the transferred machine taken over, want it left to its owner")
+		}
+	})
+}
