--- a/internal/state/errors.go
+++ b/internal/state/errors.go
@@ -8,15 +8,16 @@
 
 // Errors of the client. A request that failed with ErrUnavailable was surely
 // not carried out; one that failed with ErrUnknown may have been, or may still
-// be.
+// be. Users read these texts in responses with status 503, so they are part of
+// the interface.
 var (
-	ErrUnavailable = errors.New("key-value store unavailable")
-	ErrUnknown     = errors.New("no response from the key-value store")
+	ErrUnavailable = errors.New("state service unavailable")
+	ErrUnknown     = errors.New("no response from the state service")
 	ErrNotFound    = errors.New("no such key or lease")
 	ErrCompacted   = errors.New("the watched revision is too old")
 	// ErrRejected means that the service will never carry the request out as it
 	// is, for example because it is larger than the service's limits.
-	ErrRejected = errors.New("rejected by the key-value store")
+	ErrRejected = errors.New("rejected by the state service")
 	// ErrNotSent means that a Transport surely did not send the request: there
 	// was no connection.
 	ErrNotSent = errors.New("not sent")
