--- a/internal/cluster/watch.go
+++ b/internal/cluster/watch.go
@@ -12,9 +12,6 @@
 )
 
 const (
-	// watchTimeout is how long one watch waits for changes. It is short, since a
-	// watch that is open while the store refuses this controller stays silent.
-	watchTimeout = 4 * time.Second
 	// A failed list is retried after listRetry plus up to retryJitter, a failed
 	// watch after watchRetry plus up to retryJitter.
 	listRetry   = 200 * time.Millisecond
@@ -46,7 +43,7 @@
 
 // watchOnce waits for changes after the known revision and applies them.
 func (c *Cluster) watchOnce(ctx context.Context) error {
-	events, err := c.opts.Client.Watch(ctx, prefix, c.knownRevision(), watchTimeout)
+	events, err := c.opts.Client.Watch(ctx, prefix, c.knownRevision(), state.WatchTimeout)
 	if err != nil {
 		return err
 	}
--- a/internal/failovertest/node.go
+++ b/internal/failovertest/node.go
@@ -116,13 +116,10 @@
 	return n.opts.ActionInterval/2 + time.Duration(n.random.Int64N(int64(n.opts.ActionInterval)))
 }
 
-// watchTimeout is how long a watch waits for a change.
-const watchTimeout = 4 * time.Second
-
 // watch keeps the epoch and the ledger up to date until ctx ends.
 func (n *Node) watch(ctx context.Context) {
 	for revision := uint64(0); ctx.Err() == nil; {
-		events, err := n.client.Watch(ctx, clusterPrefix, revision, watchTimeout)
+		events, err := n.client.Watch(ctx, clusterPrefix, revision, state.WatchTimeout)
 		if err != nil {
 			wait.Sleep(ctx, watchRetryInterval)
 			continue
--- a/internal/job/follow.go
+++ b/internal/job/follow.go
@@ -14,9 +14,6 @@
 )
 
 const (
-	// watchTimeout is how long one watch waits for changes. It is short, since a
-	// watch that is open while the store refuses this controller stays silent.
-	watchTimeout = 4 * time.Second
 	// What failed is retried after minRetryPause plus up to retryJitter.
 	minRetryPause = 100 * time.Millisecond
 	retryJitter   = 200 * time.Millisecond
@@ -37,7 +34,7 @@
 			}
 			loaded = true
 		}
-		events, err := s.client.Watch(ctx, prefix, s.knownRevision(), watchTimeout)
+		events, err := s.client.Watch(ctx, prefix, s.knownRevision(), state.WatchTimeout)
 		if err != nil {
 			loaded = !errors.Is(err, state.ErrCompacted)
 			wait.Sleep(ctx, retryPause())
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -19,6 +19,10 @@
 // hundred milliseconds; a connection that hangs must not hold anything longer.
 const RequestTimeout = 1500 * time.Millisecond
 
+// WatchTimeout is how long one watch waits for changes. It is short, since a
+// watch that is open while the store refuses this controller stays silent.
+const WatchTimeout = 4 * time.Second
+
 const (
 	// listPageSize is how many keys List asks for at once.
 	listPageSize = 1000
