--- a/internal/scheduler/checkpoints.go
+++ b/internal/scheduler/checkpoints.go
@@ -57,13 +57,7 @@
 
 // Machines implements checkpoint.Scheduler.
 func (s checkpointScheduler) Machines() iter.Seq[*checkpoint.Machine] {
-	return func(yield func(*checkpoint.Machine) bool) {
-		for _, m := range s.machines {
-			if !yield(&m.record) {
-				return
-			}
-		}
-	}
+	return machineParts(s.Scheduler, func(m *machine) *checkpoint.Machine { return &m.record })
 }
 
 // MachineCount implements checkpoint.Scheduler.
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"iter"
 	"time"
 
 	"heronwick/internal/checkpoint"
@@ -52,6 +53,18 @@
 	return m
 }
 
+// machineParts yields the part of each of the scheduler's machines that one of its
+// packages keeps, in no order.
+func machineParts[Part any](s *Scheduler, part func(m *machine) *Part) iter.Seq[*Part] {
+	return func(yield func(*Part) bool) {
+		for _, m := range s.machines {
+			if !yield(part(m)) {
+				return
+			}
+		}
+	}
+}
+
 // synced reports whether the worker has sent a heartbeat under the scheduler's
 // fencing token: then all that is on the machine is known.
 func (s *Scheduler) synced(m *machine) bool { return m.HeartbeatSeen && m.FencingToken >= m.syncToken }
--- a/internal/scheduler/machinewatch.go
+++ b/internal/scheduler/machinewatch.go
@@ -23,13 +23,7 @@
 
 // workersLocked are the workers of the scheduler's machines.
 func (s *Scheduler) workersLocked() iter.Seq[*detector.Worker] {
-	return func(yield func(*detector.Worker) bool) {
-		for _, m := range s.machines {
-			if !yield(&m.Worker) {
-				return
-			}
-		}
-	}
+	return machineParts(s, func(m *machine) *detector.Worker { return &m.Worker })
 }
 
 // watchMachinesLocked probes silent workers, settles what lease expiries or returns
--- a/internal/scheduler/packing.go
+++ b/internal/scheduler/packing.go
@@ -11,13 +11,7 @@
 
 // Machines implements packing.Scheduler.
 func (s packingScheduler) Machines() iter.Seq[*packing.Machine] {
-	return func(yield func(*packing.Machine) bool) {
-		for _, m := range s.machines {
-			if !yield(m.packing) {
-				return
-			}
-		}
-	}
+	return machineParts(s.Scheduler, func(m *machine) *packing.Machine { return m.packing })
 }
 
 // AnyMachine implements packing.Scheduler.
