--- a/internal/autoscale/inventory.go
+++ b/internal/autoscale/inventory.go
@@ -11,13 +11,13 @@
 // refused. It does no I/O and is not safe for concurrent use.
 type Inventory struct {
 	booting  map[string]*bootingMachine
-	refused  map[placement.Place]refusal
+	refused  map[placement.Pool]refusal
 	released map[string]time.Time // when each machine was released
 }
 
 // bootingMachine is a machine that was rented and whose worker has sent no heartbeat yet.
 type bootingMachine struct {
-	place     placement.Place
+	place     placement.Pool
 	rentedAt  time.Time
 	firstSeen time.Time // when this inventory first knew of it
 }
@@ -43,13 +43,13 @@
 func NewInventory() *Inventory {
 	return &Inventory{
 		booting:  map[string]*bootingMachine{},
-		refused:  map[placement.Place]refusal{},
+		refused:  map[placement.Pool]refusal{},
 		released: map[string]time.Time{},
 	}
 }
 
 // Expect adds a booting machine; one that is known already stays as it is.
-func (inv *Inventory) Expect(name string, place placement.Place, rentedAt, now time.Time) {
+func (inv *Inventory) Expect(name string, place placement.Pool, rentedAt, now time.Time) {
 	if inv.booting[name] == nil {
 		inv.booting[name] = &bootingMachine{place: place, rentedAt: rentedAt, firstSeen: now}
 	}
@@ -71,7 +71,7 @@
 // Overdue returns the booting machines that are older than the limit of their
 // place. They may be up already, and only their workers have not come to a new
 // leader yet, so each must also have been known here for longer than patience.
-func (inv *Inventory) Overdue(now time.Time, limit func(place placement.Place) time.Duration, patience time.Duration) (names []string) {
+func (inv *Inventory) Overdue(now time.Time, limit func(place placement.Pool) time.Duration, patience time.Duration) (names []string) {
 	for name, m := range inv.booting {
 		if now.Sub(m.rentedAt) > limit(m.place) && now.Sub(m.firstSeen) > patience {
 			names = append(names, name)
@@ -82,7 +82,7 @@
 
 // NoteAnswer notes whether the cloud filled a request for a place. Requests
 // that are not filled back off exponentially.
-func (inv *Inventory) NoteAnswer(place placement.Place, filled bool, now time.Time) {
+func (inv *Inventory) NoteAnswer(place placement.Pool, filled bool, now time.Time) {
 	if filled {
 		delete(inv.refused, place)
 		return
@@ -94,7 +94,7 @@
 }
 
 // Refused reports whether a place is backing off after a refusal.
-func (inv *Inventory) Refused(place placement.Place, now time.Time) bool {
+func (inv *Inventory) Refused(place placement.Pool, now time.Time) bool {
 	return now.Before(inv.refused[place].until)
 }
 
--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -30,7 +30,7 @@
 
 // plannedMachine is a machine that is booting, or would be if rented.
 type plannedMachine struct {
-	place placement.Place
+	place placement.Pool
 	free  placement.Resources
 	rent  bool
 }
@@ -42,7 +42,7 @@
 
 // option is a kind of machine that could be rented.
 type option struct {
-	place       placement.Place
+	place       placement.Pool
 	machineType *wire.MachineType
 }
 
@@ -125,7 +125,7 @@
 		}
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{false, true} {
-				o := &option{place: placement.Place{Type: t.Name, Zone: zone, Spot: spot}, machineType: t}
+				o := &option{place: placement.Pool{Type: t.Name, Zone: zone, Spot: spot}, machineType: t}
 				if p.mayRent(o, j, byZone) && (best == nil || p.compare(o, best) < 0) {
 					best = o
 				}
@@ -159,7 +159,7 @@
 // requests turns the machines of the plan that are to be rented into requests,
 // one for each place.
 func (p *plan) requests() []wire.RentRequest {
-	counts := map[placement.Place]int{}
+	counts := map[placement.Pool]int{}
 	for _, m := range p.coming {
 		if m.rent {
 			counts[m.place]++
--- a/internal/autoscale/planner.go
+++ b/internal/autoscale/planner.go
@@ -61,12 +61,12 @@
 // list of the cloud's that lags. Each must also have been known here for
 // longer than patience.
 func (p *Planner) Overdue(listLag, patience time.Duration, now time.Time) []string {
-	limit := func(place placement.Place) time.Duration { return p.bootLimit(place) + 2*listLag }
+	limit := func(place placement.Pool) time.Duration { return p.bootLimit(place) + 2*listLag }
 	return p.Inventory.Overdue(now, limit, patience)
 }
 
 // bootLimit is after how long a machine that has not come up is returned.
-func (p *Planner) bootLimit(place placement.Place) time.Duration {
+func (p *Planner) bootLimit(place placement.Pool) time.Duration {
 	boot := usualBoot
 	if t := p.Types[place.Type]; t != nil {
 		boot = time.Duration(t.BootS * float64(time.Second))
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -39,8 +39,8 @@
 }
 
 // Place returns the machine's type, zone and kind.
-func (m *Machine) Place() placement.Place {
-	return placement.Place{Type: m.TypeName, Zone: m.Zone, Spot: m.Spot}
+func (m *Machine) Place() placement.Pool {
+	return placement.Pool{Type: m.TypeName, Zone: m.Zone, Spot: m.Spot}
 }
 
 // Room returns the machine's capacity less what its attempts take. sized reports
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -40,8 +40,9 @@
 // Capacity returns the resources of a machine of the type.
 func Capacity(t *wire.MachineType) Resources { return Resources{t.CPUs, t.GPUs, t.MemoryGB} }
 
-// Place is the type, the zone and the kind of a machine.
-type Place struct {
+// Pool is a set of interchangeable machines: those of one machine type in one zone,
+// either all spot or all ordinary machines.
+type Pool struct {
 	Type string
 	Zone string
 	Spot bool
@@ -54,7 +55,7 @@
 
 // Allows reports whether one more task of the job may run on a machine at the place,
 // given where its other tasks may be. It does not look at resources.
-func Allows(j *wire.Job, at Place, others Spread) bool {
+func Allows(j *wire.Job, at Pool, others Spread) bool {
 	if at.Spot && !j.Spot {
 		return false
 	}
@@ -86,7 +87,7 @@
 			continue
 		}
 		for _, zone := range t.Zones {
-			if Allows(j, Place{Type: t.Name, Zone: zone}, Spread{}) {
+			if Allows(j, Pool{Type: t.Name, Zone: zone}, Spread{}) {
 				return true
 			}
 		}
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -72,7 +72,7 @@
 		if s.machines[listed.ID] != nil {
 			continue
 		}
-		s.inventory.Expect(listed.ID, placement.Place{Type: listed.Type, Zone: listed.Zone, Spot: listed.Spot}, now.Add(-age), now)
+		s.inventory.Expect(listed.ID, placement.Pool{Type: listed.Type, Zone: listed.Zone, Spot: listed.Spot}, now.Add(-age), now)
 	}
 	// A list lags, and by up to double its usual lag.
 	overdue := s.planner.Overdue(s.opts.Settings.CloudListLag, 2*s.opts.Settings.CloudListLag+s.detector.DeadAfter(), now)
--- a/internal/scheduler/renting.go
+++ b/internal/scheduler/renting.go
@@ -132,7 +132,7 @@
 
 // takeRentalLocked takes the machines that a rent request has brought, or its error.
 func (s *Scheduler) takeRentalLocked(req wire.RentRequest, names []string, err error) {
-	place := placement.Place{Type: req.Type, Zone: req.Zone, Spot: req.Spot}
+	place := placement.Pool{Type: req.Type, Zone: req.Zone, Spot: req.Spot}
 	now := time.Now()
 	filled := err == nil && len(names) >= req.Count
 	s.inventory.NoteAnswer(place, filled, now)
