--- a/internal/queue/order.go
+++ b/internal/queue/order.go
@@ -86,8 +86,8 @@
 	remaining float64
 }
 
-// SameTurn reports whether two jobs differ only in the work that is left.
-func (e Entry) SameTurn(other Entry) bool {
+// TiesExceptRemaining reports whether two jobs differ only in the work that is left.
+func (e Entry) TiesExceptRemaining(other Entry) bool {
 	return e.priority == other.priority && e.excess == other.excess && e.urgency == other.urgency
 }
 
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -30,7 +30,7 @@
 	s.beginPassLocked()
 	for len(entries) > 0 {
 		n := 1
-		for n < len(entries) && entries[n].SameTurn(entries[0]) {
+		for n < len(entries) && entries[n].TiesExceptRemaining(entries[0]) {
 			n++
 		}
 		s.serveTurnLocked(entries[:n], now)
