--- a/internal/packing/packer.go
+++ b/internal/packing/packer.go
@@ -59,12 +59,12 @@
 	return func(m *Machine) bool { return p.Fits(queued, m, now) }
 }
 
-// WithImage chooses among machines that hold the job's image, which come first
+// FindWithImage chooses among machines that hold the job's image, which come first
 // since a fetch takes longer than all the rest of a start: the most recently
 // used one that fits, else an idle one, which it opens. A service goes to one
 // that is not half full of services before others. It returns nil if there is
 // none.
-func (p *Packer) WithImage(queued *queue.Job, now time.Time) *Machine {
+func (p *Packer) FindWithImage(queued *queue.Job, now time.Time) *Machine {
 	if p.lacksRoom(queued.Size, now) {
 		return nil
 	}
@@ -77,7 +77,7 @@
 	if m, ok := p.Open.Walk(preferred); ok {
 		return m
 	}
-	if idle := p.Idle(queued, now); idle != nil && idle.HasImage(queued.Record.Job.Image) {
+	if idle := p.FindIdle(queued, now); idle != nil && idle.HasImage(queued.Record.Job.Image) {
 		p.Open.MoveToFront(idle)
 		return idle
 	}
@@ -89,15 +89,15 @@
 	return nil
 }
 
-// Any chooses among all machines in the same way. Replicas stacked on one
+// FindAny chooses among all machines in the same way. Replicas stacked on one
 // machine are all lost with it, and their images are then nowhere else: as long
 // as another machine can take a replica, they fill half of one at most.
-func (p *Packer) Any(queued *queue.Job, now time.Time) *Machine {
+func (p *Packer) FindAny(queued *queue.Job, now time.Time) *Machine {
 	if p.lacksRoom(queued.Size, now) {
 		return nil
 	}
 	fits := p.fits(queued, now)
-	idle := p.Idle(queued, now)
+	idle := p.FindIdle(queued, now)
 	if queued.IsService() {
 		roomy := func(m *Machine) bool { return fits(m) && m.belowHalf(queued.Size) }
 		if m, ok := p.Open.Walk(roomy); ok {
@@ -117,9 +117,9 @@
 	return idle
 }
 
-// Idle returns the idle machine to open for the job, without opening it: one
+// FindIdle returns the idle machine to open for the job, without opening it: one
 // that holds its image before others; nil if there is none.
-func (p *Packer) Idle(queued *queue.Job, now time.Time) *Machine {
+func (p *Packer) FindIdle(queued *queue.Job, now time.Time) *Machine {
 	var first *Machine
 	for _, m := range p.idleMachines(now) {
 		if p.Open.Has(m) || !p.scheduler.Owns(m) || !p.Fits(queued, m, now) {
@@ -140,7 +140,7 @@
 	if p.lacksRoom(queued.Size, now) {
 		return false
 	}
-	if p.Idle(queued, now) != nil {
+	if p.FindIdle(queued, now) != nil {
 		return true
 	}
 	_, ok := p.Open.Find(p.fits(queued, now))
--- a/internal/scheduler/hosting.go
+++ b/internal/scheduler/hosting.go
@@ -131,7 +131,7 @@
 // handOverForGangLocked hands over an idle machine, if there is one. A gang is
 // placed in one walk by its owner, which needs machines for it, not places.
 func (s *Scheduler) handOverForGangLocked(r *jobRequest, now time.Time) {
-	found := s.packer.Idle(r.job, now)
+	found := s.packer.FindIdle(r.job, now)
 	if found == nil {
 		return
 	}
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -90,7 +90,7 @@
 // For a service, room is made on one of those before another machine fetches
 // the image; making tells that this is under way.
 func (s *Scheduler) findWithImageLocked(queued *queue.Job, now time.Time, guaranteed bool) (m *machine, making bool) {
-	if found := s.packer.WithImage(queued, now); found != nil {
+	if found := s.packer.FindWithImage(queued, now); found != nil {
 		return s.machines[found.Name], false
 	}
 	return nil, queued.IsService() && s.preemptLocked(queued, now, queue.ImageRequired, guaranteed)
@@ -98,7 +98,7 @@
 
 // findAnyLocked opens or finds a machine for the job, whatever images it holds.
 func (s *Scheduler) findAnyLocked(queued *queue.Job, now time.Time) *machine {
-	if found := s.packer.Any(queued, now); found != nil {
+	if found := s.packer.FindAny(queued, now); found != nil {
 		return s.machines[found.Name]
 	}
 	return nil
