--- a/internal/completion/flush.go
+++ b/internal/completion/flush.go
@@ -96,7 +96,7 @@
 // startWrite writes a bucket, or removes one that is empty.
 func (t *Table) startWrite(write *bucketWrite) {
 	b := write.bucket
-	request := state.Write{Priority: flushPriority, Persist: true, If: []wire.Condition{{Key: b.key, Version: b.version}}}
+	request := state.Write{Priority: flushPriority, RetryUntilAnswered: true, If: []wire.Condition{{Key: b.key, Version: b.version}}}
 	if b.empty() {
 		guard, err := t.scheduler.CleanupGuard()
 		if err != nil {
--- a/internal/duty/actions.go
+++ b/internal/duty/actions.go
@@ -149,7 +149,7 @@
 		return fmt.Errorf("%w: %d bytes, at most %d", ErrIntentTooLarge, len(value), a.opts.MaxValueBytes)
 	}
 	version, err := a.opts.Committer.Commit(ctx, fence.Bind(guard.Bind(state.Write{
-		Priority: priority, Persist: true,
+		Priority: priority, RetryUntilAnswered: true,
 		If:   []wire.Condition{{Key: key}},
 		Then: []wire.Change{{Put: key, Value: value}},
 	})))
--- a/internal/job/answers.go
+++ b/internal/job/answers.go
@@ -220,7 +220,7 @@
 	write := endWrite(r, &outcome, state.Safety)
 	write.Fresh = func() bool { return !s.Ended(r.Job.ID) }
 	if fence != nil {
-		write.Persist = true
+		write.RetryUntilAnswered = true
 		write = fence.Bind(write)
 	}
 	revision, err := s.committer.Commit(ctx, write)
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -43,7 +43,7 @@
 		return fmt.Errorf("%s is no member", node)
 	}
 	version, err := s.opts.Committer.Commit(ctx, fence.Bind(state.Write{Priority: priority, If: []wire.Condition{transfer.Condition},
-		Then: []wire.Change{transfer.Change}, Persist: true}))
+		Then: []wire.Change{transfer.Change}, RetryUntilAnswered: true}))
 	if err != nil {
 		return err
 	}
--- a/internal/state/failures.go
+++ b/internal/state/failures.go
@@ -16,7 +16,7 @@
 		// Most often the connection broke, and another path has an answer.
 		firstUnknown := unknown && !w.unknown
 		w.unknown = w.unknown || unknown
-		if (w.Persist || firstUnknown) && w.ctx.Err() == nil {
+		if (w.RetryUntilAnswered || firstUnknown) && w.ctx.Err() == nil {
 			retries = append(retries, w)
 			continue
 		}
--- a/internal/state/write.go
+++ b/internal/state/write.go
@@ -15,10 +15,10 @@
 	Priority Priority
 	If       []wire.Condition
 	Then     []wire.Change
-	// Persist retries the write until the service gives a definite answer or
+	// RetryUntilAnswered retries the write until the service gives a definite answer or
 	// the context ends. Otherwise it fails with ErrUnavailable after one
 	// attempt, with ErrUnknown after a second without response.
-	Persist bool
+	RetryUntilAnswered bool
 	// Fresh reports, right before sending, whether the write can still succeed;
 	// nil: it can. Sending one that cannot would use up budget that others wait
 	// for.
