--- a/internal/job/answers.go
+++ b/internal/job/answers.go
@@ -218,7 +218,7 @@
 func (s *Store) end(ctx context.Context, r *Record, final wire.JobState, fence *state.FencingCondition) error {
 	outcome := newOutcome(&r.Job, final, time.Now())
 	write := endWrite(r, &outcome, state.Safety)
-	write.Fresh = func() bool { return !s.Ended(r.Job.ID) }
+	write.StillValid = func() bool { return !s.Ended(r.Job.ID) }
 	if fence != nil {
 		write.RetryUntilAnswered = true
 		write = fence.Bind(write)
--- a/internal/state/write.go
+++ b/internal/state/write.go
@@ -19,10 +19,10 @@
 	// the context ends. Otherwise it fails with ErrUnavailable after one
 	// attempt, with ErrUnknown after a second without response.
 	RetryUntilAnswered bool
-	// Fresh reports, right before sending, whether the write can still succeed;
+	// StillValid reports, right before sending, whether the write can still succeed;
 	// nil: it can. Sending one that cannot would use up budget that others wait
 	// for.
-	Fresh func() bool
+	StillValid func() bool
 	// Since is when the write began to wait; zero: now. Among writes of one
 	// priority the oldest goes first, so one that is retried under another
 	// epoch keeps its place.
@@ -69,8 +69,8 @@
 func (f FencingCondition) Bind(w Write) Write {
 	w.If = append([]wire.Condition{f.Condition}, w.If...)
 	w.Since = f.Since
-	fresh := w.Fresh
-	w.Fresh = func() bool { return f.Current() && (fresh == nil || fresh()) }
+	fresh := w.StillValid
+	w.StillValid = func() bool { return f.Current() && (fresh == nil || fresh()) }
 	return w
 }
 
@@ -96,7 +96,7 @@
 // dropReason returns the error with which the write ends unsent, nil if it may
 // still be sent.
 func (w *queuedWrite) dropReason() error {
-	if w.Fresh != nil && !w.Fresh() {
+	if w.StillValid != nil && !w.StillValid() {
 		return &Conflict{}
 	}
 	if err := w.ctx.Err(); err != nil {
