--- a/internal/scheduler/completions.go
+++ b/internal/scheduler/completions.go
@@ -91,7 +91,7 @@
 func (s *Scheduler) finish(ctx context.Context, queued *queue.Job, since time.Time) bool {
 	s.mu.Lock()
 	id, fence := queued.Record.Job.ID, s.fenceLocked()
-	fence.Since = since
+	fence.QueuedAt = since
 	mine := s.jobs[id] == queued && ctx.Err() == nil
 	s.mu.Unlock()
 	if !mine {
--- a/internal/state/commit.go
+++ b/internal/state/commit.go
@@ -49,8 +49,8 @@
 // conditions that failed, ErrUnavailable, ErrUnknown or ErrRejected. Each
 // write's conditions must make a late copy of it fail.
 func (c *Committer) Commit(ctx context.Context, w Write) (revision uint64, err error) {
-	if w.Since.IsZero() {
-		w.Since = time.Now()
+	if w.QueuedAt.IsZero() {
+		w.QueuedAt = time.Now()
 	}
 	queued := &queuedWrite{Write: w, ctx: ctx, done: make(chan commitResult, 1)}
 	c.enqueue(queued)
--- a/internal/state/queue.go
+++ b/internal/state/queue.go
@@ -25,7 +25,7 @@
 // insert puts a write behind those that have waited as long or longer.
 func (q *writeQueue) insert(w *queuedWrite) {
 	i := len(q.writes)
-	for i > 0 && q.writes[i-1].Since.After(w.Since) {
+	for i > 0 && q.writes[i-1].QueuedAt.After(w.QueuedAt) {
 		i--
 	}
 	q.writes = slices.Insert(q.writes, i, w)
@@ -79,7 +79,7 @@
 func (q *writeQueue) longestWait(p Priority, now time.Time) (longest time.Duration) {
 	for _, w := range q.writes {
 		if w.Priority <= p {
-			longest = max(longest, now.Sub(w.Since))
+			longest = max(longest, now.Sub(w.QueuedAt))
 		}
 	}
 	return longest
--- a/internal/state/write.go
+++ b/internal/state/write.go
@@ -23,10 +23,10 @@
 	// nil: it can. Sending one that cannot would use up budget that others wait
 	// for.
 	StillValid func() bool
-	// Since is when the write began to wait; zero: now. Among writes of one
+	// QueuedAt is when the write began to wait; zero: now. Among writes of one
 	// priority the oldest goes first, so one that is retried under another
 	// epoch keeps its place.
-	Since time.Time
+	QueuedAt time.Time
 }
 
 // dependsOn reports whether the write changes one of the keys or is conditional
@@ -61,14 +61,14 @@
 type FencingCondition struct {
 	Condition wire.Condition
 	Current   func() bool // whether the condition can still hold, without asking the service
-	Since     time.Time   // when the writes were first decided, see Write
+	QueuedAt  time.Time   // when the writes were first decided, see Write
 }
 
 // Bind makes a write fail once the condition is outdated: unsent, where that is
 // known.
 func (f FencingCondition) Bind(w Write) Write {
 	w.If = append([]wire.Condition{f.Condition}, w.If...)
-	w.Since = f.Since
+	w.QueuedAt = f.QueuedAt
 	fresh := w.StillValid
 	w.StillValid = func() bool { return f.Current() && (fresh == nil || fresh()) }
 	return w
