--- a/internal/failovertest/node.go
+++ b/internal/failovertest/node.go
@@ -154,7 +154,7 @@
 // fence returns the condition that makes a write fail under a newer epoch.
 func (n *Node) fence() state.FencingCondition {
 	condition := n.membership().Epoch
-	return state.FencingCondition{Condition: condition, Current: func() bool { return n.membership().Epoch == condition }}
+	return state.FencingCondition{Condition: condition, IsCurrent: func() bool { return n.membership().Epoch == condition }}
 }
 
 var (
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -172,13 +172,13 @@
 // under.
 func (s *Scheduler) fenceLocked() state.FencingCondition {
 	fence := s.epoch.condition
-	return state.FencingCondition{Condition: fence, Current: func() bool {
+	return state.FencingCondition{Condition: fence, IsCurrent: func() bool {
 		return s.opts.Authority.View().Condition == fence
 	}}
 }
 
 // currentLocked reports whether the epoch that the scheduler acts under is current.
-func (s *Scheduler) currentLocked() bool { return s.fenceLocked().Current() }
+func (s *Scheduler) currentLocked() bool { return s.fenceLocked().IsCurrent() }
 
 // raiseTokenInterval is how often the fencing token may be raised.
 const raiseTokenInterval = 2 * time.Second
--- a/internal/state/write.go
+++ b/internal/state/write.go
@@ -60,7 +60,7 @@
 // FencingCondition ties writes to the epoch under which they were decided.
 type FencingCondition struct {
 	Condition wire.Condition
-	Current   func() bool // whether the condition can still hold, without asking the service
+	IsCurrent func() bool // whether the condition can still hold, without asking the service
 	QueuedAt  time.Time   // when the writes were first decided, see Write
 }
 
@@ -70,7 +70,7 @@
 	w.If = append([]wire.Condition{f.Condition}, w.If...)
 	w.QueuedAt = f.QueuedAt
 	fresh := w.StillValid
-	w.StillValid = func() bool { return f.Current() && (fresh == nil || fresh()) }
+	w.StillValid = func() bool { return f.IsCurrent() && (fresh == nil || fresh()) }
 	return w
 }
 
