--- a/cmd/heronwick/ratelimits.go
+++ b/cmd/heronwick/ratelimits.go
@@ -74,7 +74,7 @@
 // as the limits are divided.
 func (c *controller) balanceRates() {
 	base := c.baseRates()
-	window := c.budget.Window()
+	window := c.budget.TotalUsage()
 	perSecond := headroom / balanceInterval.Seconds()
 	c.unusedRates.Store(&unusedRates{
 		requests: max(0, base.requests-perSecond*float64(window.Requests)-1),
@@ -126,7 +126,7 @@
 // logUsage logs, for each priority, what was used of the rate limits and how long
 // requests waited for them.
 func (c *controller) logUsage() {
-	for priority, usage := range c.budget.Usage() {
+	for priority, usage := range c.budget.UsageByPriority() {
 		if usage.Requests > 0 {
 			c.log.Info("state use", "work", state.Priority(priority), "requests", usage.Requests, "writes", usage.Writes,
 				"mean_wait", usage.Waited/time.Duration(usage.Requests), "longest_wait", usage.Longest)
--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -24,7 +24,7 @@
 	timer          *time.Timer // serves the waiters again
 	pausedUntil    time.Time
 	usage          [priorities]Usage
-	window         Usage // since Window was last called
+	window         Usage // since TotalUsage was last called
 }
 
 // waiter is a request that waits for the budget.
--- a/internal/state/usage.go
+++ b/internal/state/usage.go
@@ -15,8 +15,8 @@
 	u.Longest = max(u.Longest, waited)
 }
 
-// Usage returns what was used under each priority since it was last called.
-func (b *Budget) Usage() [priorities]Usage {
+// UsageByPriority returns what was used under each priority since it was last called.
+func (b *Budget) UsageByPriority() [priorities]Usage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	usage := b.usage
@@ -24,10 +24,10 @@
 	return usage
 }
 
-// Window returns what was used under all priorities since it was last called.
+// TotalUsage returns what was used under all priorities since it was last called.
 // Longest covers requests that still wait, too; waits of capped priorities count
 // as none.
-func (b *Budget) Window() Usage {
+func (b *Budget) TotalUsage() Usage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
