--- a/cmd/heronwick/ratelimits.go
+++ b/cmd/heronwick/ratelimits.go
@@ -79,7 +79,7 @@
 	c.unusedRates.Store(&unusedRates{
 		requests: max(0, base.requests-perSecond*float64(window.Requests)-1),
 		writes:   max(0, base.writes-perSecond*float64(window.Writes)-1),
-		short:    window.Longest > shortAfter,
+		short:    window.LongestWait > shortAfter,
 		late:     c.committer.LongestWait(state.Safety) > lateAfter,
 	})
 	c.setRates()
@@ -129,7 +129,7 @@
 	for priority, usage := range c.budget.UsageByPriority() {
 		if usage.Requests > 0 {
 			c.log.Info("state use", "work", state.Priority(priority), "requests", usage.Requests, "writes", usage.Writes,
-				"mean_wait", usage.Waited/time.Duration(usage.Requests), "longest_wait", usage.Longest)
+				"mean_wait", usage.TotalWait/time.Duration(usage.Requests), "longest_wait", usage.LongestWait)
 		}
 	}
 }
--- a/internal/state/usage.go
+++ b/internal/state/usage.go
@@ -4,15 +4,15 @@
 
 // Usage is what was taken of a Budget.
 type Usage struct {
-	Requests, Writes int
-	Waited, Longest  time.Duration // for the budget: the sum and the maximum
+	Requests, Writes       int
+	TotalWait, LongestWait time.Duration // for the budget: the sum and the maximum
 }
 
 func (u *Usage) add(writes int, waited time.Duration) {
 	u.Requests++
 	u.Writes += writes
-	u.Waited += waited
-	u.Longest = max(u.Longest, waited)
+	u.TotalWait += waited
+	u.LongestWait = max(u.LongestWait, waited)
 }
 
 // UsageByPriority returns what was used under each priority since it was last called.
@@ -25,7 +25,7 @@
 }
 
 // TotalUsage returns what was used under all priorities since it was last called.
-// Longest covers requests that still wait, too; waits of capped priorities count
+// LongestWait covers requests that still wait, too; waits of capped priorities count
 // as none.
 func (b *Budget) TotalUsage() Usage {
 	b.mu.Lock()
@@ -38,7 +38,7 @@
 			continue
 		}
 		for _, w := range b.waiting[p] {
-			window.Longest = max(window.Longest, now.Sub(w.since))
+			window.LongestWait = max(window.LongestWait, now.Sub(w.since))
 		}
 	}
 	return window
