--- a/cmd/heronwick/ratelimits.go
+++ b/cmd/heronwick/ratelimits.go
@@ -90,17 +90,17 @@
 // jobs, and so leaves more.
 func (c *controller) setRates() {
 	base := c.baseRates()
-	rates := state.Rates{Requests: base.requests, Writes: base.writes, Background: base.writes}
+	rates := state.Rates{Requests: base.requests, Writes: base.writes, BackgroundWrites: base.writes}
 	peers := c.members.Peers()
 	if unused := c.unusedRates.Load(); unused != nil && unused.short {
 		addUnusedRates(&rates, peers)
 	}
-	rates.Submission = rates.Writes
+	rates.SubmissionWrites = rates.Writes
 	if slices.ContainsFunc(peers, func(p *peerpb.Status) bool { return p.Short }) {
-		rates.Background = base.writes * backgroundFraction
+		rates.BackgroundWrites = base.writes * backgroundFraction
 	}
 	if slices.ContainsFunc(peers, func(p *peerpb.Status) bool { return p.Late }) {
-		rates.Submission = base.writes * submissionFraction
+		rates.SubmissionWrites = base.writes * submissionFraction
 	}
 	c.budget.SetRates(rates, c.settings.MaxTxnOps)
 }
--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -53,16 +53,16 @@
 type Rates struct {
 	Requests, Writes float64
 	// Of the writes, how many those priorities may use. The others may use all.
-	Submission, Background float64
+	SubmissionWrites, BackgroundWrites float64
 }
 
 // writesFor returns how many writes a second a priority may use.
 func (r *Rates) writesFor(p Priority) float64 {
 	switch p {
 	case Submission:
-		return r.Submission
+		return r.SubmissionWrites
 	case Background:
-		return r.Background
+		return r.BackgroundWrites
 	}
 	return r.Writes
 }
