--- a/internal/checkpoint/bucketwrite.go
+++ b/internal/checkpoint/bucketwrite.go
@@ -105,7 +105,7 @@
 	version, err := w.opts.Committer.Commit(ctx, write.request)
 	known := err == nil
 	if err != nil {
-		version, known = state.Reread(ctx, w.opts.Reader, state.Placement, write.bucket.key, err)
+		version, known = state.VersionAfterFailedWrite(ctx, w.opts.Reader, state.Placement, write.bucket.key, err)
 	}
 	w.opts.Lock.Lock()
 	defer w.opts.Lock.Unlock()
--- a/internal/scheduler/completions.go
+++ b/internal/scheduler/completions.go
@@ -39,7 +39,7 @@
 	if err == nil {
 		return completion.CommitResult{Version: version, Known: true}, nil
 	}
-	version, known := state.Reread(ctx, s.opts.Records, write.Priority, key, err)
+	version, known := state.VersionAfterFailedWrite(ctx, s.opts.Records, write.Priority, key, err)
 	return completion.CommitResult{Version: version, Known: known}, err
 }
 
