--- a/internal/duty/returns.go
+++ b/internal/duty/returns.go
@@ -19,7 +19,7 @@
 
 // MaxReturnMachines returns how many of the machines fit one intent to return.
 func (a *Actions) MaxReturnMachines(machines []string) int {
-	return state.NamesThatFit(machines, returnRecordOverhead, nameSyntax, a.opts.MaxValueBytes)
+	return state.CountFittingNames(machines, returnRecordOverhead, nameSyntax, a.opts.MaxValueBytes)
 }
 
 // HasReturnIntent reports whether an open intent of any controller returns a machine: no
--- a/internal/ownership/transfers.go
+++ b/internal/ownership/transfers.go
@@ -63,7 +63,7 @@
 		return nil, nil
 	}
 	t.announcing = true
-	names = t.released[:state.NamesThatFit(t.released, 0, releaseSyntax, limit)]
+	names = t.released[:state.CountFittingNames(t.released, 0, releaseSyntax, limit)]
 	records = Records{}
 	for _, name := range names {
 		records[name] = json.RawMessage("null")
--- a/internal/state/keys.go
+++ b/internal/state/keys.go
@@ -30,10 +30,10 @@
 	return KeyOwner{Node: parts[0], Since: since}, err == nil
 }
 
-// NamesThatFit returns how many of the names fit a value of limit bytes, at
+// CountFittingNames returns how many of the names fit a value of limit bytes, at
 // least one. The value takes base bytes without any name, and each name takes
 // perName bytes besides its own.
-func NamesThatFit(names []string, base, perName, limit int) int {
+func CountFittingNames(names []string, base, perName, limit int) int {
 	size := base
 	for i, name := range names {
 		size += len(name) + perName
