--- a/cmd/heronwick/membership.go
+++ b/cmd/heronwick/membership.go
@@ -52,22 +52,22 @@
 		return err
 	}
 	s := scheduler.New(scheduler.Options{
-		Node:          c.settings.Node,
-		Settings:      c.settings,
-		Authority:     membership,
-		Workers:       c.external.workers,
-		Cloud:         c.external.cloud,
-		Actions:       c.duties.actions,
-		Peers:         peerSchedulers(c.external.peers),
-		PlaceRequests: &c.placeRequests,
-		Jobs:          c.jobs,
-		Records:       c.client,
-		Committer:     c.committer,
-		Types:         c.machineTypes.Types(),
-		Resign:        c.members.StepDown,
-		Elsewhere:     c.members.WorkersElsewhere,
-		Latency:       c.latency,
-		Log:           c.log,
+		Node:           c.settings.Node,
+		Settings:       c.settings,
+		Authority:      membership,
+		Workers:        c.external.workers,
+		Cloud:          c.external.cloud,
+		Actions:        c.duties.actions,
+		Peers:          peerSchedulers(c.external.peers),
+		PlaceRequests:  &c.placeRequests,
+		Jobs:           c.jobs,
+		Records:        c.client,
+		Committer:      c.committer,
+		Types:          c.machineTypes.Types(),
+		Resign:         c.members.StepDown,
+		WorkersAtPeers: c.members.WorkersElsewhere,
+		Latency:        c.latency,
+		Log:            c.log,
 	})
 	c.scheduler.Store(s)
 	// As soon as the membership ends: the scheduler's last work may take long.
--- a/internal/scheduler/adoption.go
+++ b/internal/scheduler/adoption.go
@@ -56,7 +56,7 @@
 			}
 			s.adoptAttemptLocked(m, a)
 			if a.Exited() && !a.Handled {
-				s.attemptExitedLocked(m, a)
+				s.handleAttemptExitLocked(m, a)
 			}
 		}
 	}
@@ -118,7 +118,7 @@
 func (s *Scheduler) trackRecordLocked(adopting *adoption, fleetMachine *fleet.Machine, host string) {
 	for _, a := range fleetMachine.Attempts.All() {
 		if outcome, over := adopting.outcomes[a.Job]; over && s.epoch.OwnerOf(outcome.Team, a.Job) == s.opts.Node {
-			a.Team, a.Size, a.Sized = outcome.Team, sizeOf(outcome), true
+			a.Team, a.Size, a.Sized = outcome.Team, outcomeTaskSize(outcome), true
 			s.trackRemoteLocked(a, host, fleetMachine.Zone)
 		} else if queued := s.jobs[a.Job]; queued != nil && adopting.gained[a.Job] {
 			a.Describe(&queued.Record.Job, queued.EffectivePriority)
@@ -133,7 +133,7 @@
 func (s *Scheduler) adoptMachineLocked(
 	adopted *fleet.Machine, buckets []*checkpoint.Bucket, outcomes map[string]job.Outcome, now time.Time,
 ) {
-	answered := s.answeredUnadopted[adopted.Name]
+	answered := s.preAdoptionReplies[adopted.Name]
 	m := s.addMachineLocked(adopted, now)
 	m.LastReply = answered
 	s.checkpoints.AdoptMachine(&m.record, buckets)
@@ -146,7 +146,7 @@
 		s.adoptAttemptLocked(m, a)
 	}
 	for id, outcome := range over {
-		s.endTasksOnLocked(m, id, outcome, now.Add(2*s.opts.Settings.HeartbeatInterval))
+		s.stopTasksOnLocked(m, id, outcome, now.Add(2*s.opts.Settings.HeartbeatInterval))
 	}
 	s.queueTokenSyncLocked(m)
 }
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -27,7 +27,7 @@
 	}
 	a.Hosted = false
 	if earlier := s.remoteAttempts.Get(a.Key); earlier != nil {
-		s.forgetRemoteLocked(earlier) // its machine was another scheduler's
+		s.untrackRemoteLocked(earlier) // its machine was another scheduler's
 	}
 	a.Describe(&queued.Record.Job, queued.EffectivePriority)
 	if a.Exited() {
@@ -41,8 +41,8 @@
 	s.updateOpenLocked(m)
 }
 
-// sizeOf is what each task of a job took that is over.
-func sizeOf(outcome job.Outcome) placement.Resources {
+// outcomeTaskSize is what each task of a job took that is over.
+func outcomeTaskSize(outcome job.Outcome) placement.Resources {
 	return placement.Resources{CPUs: outcome.CPUs, GPUs: outcome.GPUs, MemoryGB: outcome.MemoryGB}
 }
 
@@ -62,12 +62,12 @@
 // uncountAttemptLocked takes an attempt out of all sums: it is surely gone. Its task
 // is queued again, unless it is done or may be elsewhere.
 func (s *Scheduler) uncountAttemptLocked(a *fleet.Attempt) {
-	s.releaseAttemptLocked(a)
+	s.uncountWithoutWakeLocked(a)
 	s.wakeLoop()
 }
 
-// releaseAttemptLocked is uncountAttemptLocked without waking the scheduler.
-func (s *Scheduler) releaseAttemptLocked(a *fleet.Attempt) {
+// uncountWithoutWakeLocked is uncountAttemptLocked without waking the scheduler.
+func (s *Scheduler) uncountWithoutWakeLocked(a *fleet.Attempt) {
 	if !a.Counted {
 		return
 	}
@@ -87,13 +87,13 @@
 	refusedStartDelay = 500 * time.Millisecond
 )
 
-// attemptExitedLocked takes the end of an attempt on a machine of the scheduler,
+// handleAttemptExitLocked takes the end of an attempt on a machine of the scheduler,
 // hosted or not: what it says of the machine, then of the job.
-func (s *Scheduler) attemptExitedLocked(m *machine, a *fleet.Attempt) {
+func (s *Scheduler) handleAttemptExitLocked(m *machine, a *fleet.Attempt) {
 	now := time.Now()
 	s.log.Debug("exited", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "why", a.Why, "since_placed", now.Sub(a.Placed))
 	if a.Why == wire.ExitError {
-		s.taskFailedLocked(m, s.jobOf(a.Job), a, now)
+		s.handleTaskFailureLocked(m, s.jobOf(a.Job), a, now)
 	}
 	if a.Why == wire.ExitDone {
 		clear(m.failedJobs)
@@ -104,12 +104,12 @@
 	if a.Why == wire.ExitNoCapacity || a.Why == wire.ExitBusy {
 		m.placeNotBefore = now.Add(refusedMachineDelay)
 	}
-	s.attemptEndedLocked(a, now)
+	s.applyAttemptExitLocked(a, now)
 }
 
-// attemptEndedLocked draws the consequences of an attempt's end for its job,
+// applyAttemptExitLocked draws the consequences of an attempt's end for its job,
 // whether it was on a machine of the scheduler or a remote one.
-func (s *Scheduler) attemptEndedLocked(a *fleet.Attempt, now time.Time) {
+func (s *Scheduler) applyAttemptExitLocked(a *fleet.Attempt, now time.Time) {
 	queued := s.jobs[a.Job]
 	if queued == nil {
 		// Its owner, which settles it, decides what follows; without one, nothing.
@@ -118,7 +118,7 @@
 		return
 	}
 	if a.Why == wire.ExitDone && !a.Service {
-		s.taskDoneLocked(queued, a)
+		s.markTaskDoneLocked(queued, a)
 		return
 	}
 	a.Handled = true
@@ -131,17 +131,17 @@
 	s.uncountAttemptLocked(a)
 }
 
-// taskDoneLocked notes that the task of an attempt is done.
-func (s *Scheduler) taskDoneLocked(queued *queue.Job, a *fleet.Attempt) {
+// markTaskDoneLocked notes that the task of an attempt is done.
+func (s *Scheduler) markTaskDoneLocked(queued *queue.Job, a *fleet.Attempt) {
 	queued.Succeeded = true
 	queued.Done.Complete(a)
 	s.uncountAttemptLocked(a)
-	s.stopOthersLocked(a)
+	s.stopDuplicatesLocked(a)
 	s.finishLocked(queued)
 }
 
-// stopOthersLocked stops other attempts of a task that is done.
-func (s *Scheduler) stopOthersLocked(done *fleet.Attempt) {
+// stopDuplicatesLocked stops other attempts of a task that is done.
+func (s *Scheduler) stopDuplicatesLocked(done *fleet.Attempt) {
 	queued := s.jobs[done.Job]
 	if queued == nil || !queued.HasAttempt(done.Index) {
 		return
@@ -156,14 +156,14 @@
 	}
 }
 
-// suspectFailures is how many jobs that do not fail elsewhere must have failed on
+// quarantineThreshold is how many jobs that do not fail elsewhere must have failed on
 // a machine for it to be quarantined.
-const suspectFailures = 2
+const quarantineThreshold = 2
 
-// taskFailedLocked judges a failure: is it the machine or the job? A machine on
+// handleTaskFailureLocked judges a failure: is it the machine or the job? A machine on
 // which several jobs fail that do not fail elsewhere is quarantined; a job that
 // fails on several machines and succeeds on none is tried again ever later.
-func (s *Scheduler) taskFailedLocked(m *machine, queued *queue.Job, a *fleet.Attempt, now time.Time) {
+func (s *Scheduler) handleTaskFailureLocked(m *machine, queued *queue.Job, a *fleet.Attempt, now time.Time) {
 	s.log.Info("task failed", "task", a.Task, "attempt", a.Attempt, "machine", m.Name)
 	if queued == nil {
 		return
@@ -176,15 +176,15 @@
 			evidence++
 		}
 	}
-	if evidence >= suspectFailures && !m.quarantined {
+	if evidence >= quarantineThreshold && !m.quarantined {
 		m.quarantined = true
 		s.log.Info("machine set aside: jobs fail on it that do not fail elsewhere", "machine", m.Name)
 	}
 }
 
-// numbersLeftLocked makes sure that there are numbers for attempts under the
+// ensureAttemptNumbersLocked makes sure that there are numbers for attempts under the
 // token, and returns false while there are not.
-func (s *Scheduler) numbersLeftLocked(now time.Time) bool {
+func (s *Scheduler) ensureAttemptNumbersLocked(now time.Time) bool {
 	left := s.attemptNumbers.Left(s.epoch.Token)
 	if left < fleet.FewAttemptNumbers {
 		s.raiseTokenLocked(now)
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -163,7 +163,7 @@
 	}
 	for a := range s.remoteAttempts.All() {
 		if lost[a.Job] {
-			s.forgetRemoteLocked(a)
+			s.untrackRemoteLocked(a)
 		}
 	}
 }
--- /dev/null
+++ b/internal/scheduler/fakes_test.go
@@ -0,0 +1,166 @@
+package scheduler
+
+import (
+	"context"
+	"encoding/json"
+	"io"
+	"log/slog"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"heronwick/internal/cluster"
+	"heronwick/internal/cluster/peerpb"
+	"heronwick/internal/config"
+	"heronwick/internal/duty"
+	"heronwick/internal/fleet"
+	"heronwick/internal/job"
+	"heronwick/internal/remote"
+	"heronwick/internal/state"
+	"heronwick/wire"
+)
+
+// fakeEnvironment stands for everything around a scheduler.
+type fakeEnvironment struct {
+	readiness     map[string]job.Readiness // of jobs that are in a chain
+	epoch         cluster.Epoch
+	fencedSince   time.Time
+	active        map[string]*job.Record
+	mu            sync.Mutex
+	writes        []state.Write
+	fences        []state.FencingCondition // of ended jobs
+	allActive     []*job.Record            // all active jobs
+	probeReply    *wire.Heartbeat          // what workers answer to probes; nil: nothing
+	wants         []*peerpb.Want
+	loads         map[string]cluster.PeerLoad
+	peerSince     map[string]uint64 // machines that the peer owns, and its membership
+	records       []wire.Item       // records
+	epochAdvances atomic.Int64      // how often another token was asked for
+	commitErr     error             // what writes fail with
+	latency       time.Duration     // of scheduling
+}
+
+func (p *fakeEnvironment) View() cluster.View {
+	return cluster.View{Epoch: p.epoch, Condition: wire.Condition{Key: "epoch", Version: p.epoch.Token}}
+}
+func (p *fakeEnvironment) Token() uint64                { return p.epoch.Token }
+func (p *fakeEnvironment) FencingToken() (uint64, bool) { return p.epoch.Token, true }
+func (p *fakeEnvironment) FencedSince(uint64) (time.Time, bool) {
+	return p.fencedSince, !p.fencedSince.IsZero()
+}
+func (p *fakeEnvironment) AdvanceEpoch(context.Context) error {
+	p.epochAdvances.Add(1)
+	return nil
+}
+func (p *fakeEnvironment) Ownership() cluster.Ownership          { return cluster.Ownership{Fresh: true} }
+func (p *fakeEnvironment) HeartbeatTarget(string) (string, bool) { return "me", true }
+func (p *fakeEnvironment) HostOf(epoch *cluster.Epoch, machine string) string {
+	if peerSince := p.peerSince[machine]; peerSince > 0 && epoch.Members["peer"].Since == peerSince {
+		return "peer"
+	}
+	return "me"
+}
+func (p *fakeEnvironment) Get(context.Context, state.Priority, string) (wire.Item, error) {
+	return wire.Item{}, state.ErrNotFound
+}
+func (p *fakeEnvironment) List(context.Context, state.Priority, string) (state.Listing, error) {
+	return state.Listing{Items: p.records, Revision: 1}, nil
+}
+func (p *fakeEnvironment) PeerCapacity() cluster.PeerCapacity     { return cluster.PeerCapacity{} }
+func (p *fakeEnvironment) IdleMachines(string) int                { return 0 }
+func (p *fakeEnvironment) PeerLoads() map[string]cluster.PeerLoad { return p.loads }
+func (p *fakeEnvironment) UnplacedWants() []*peerpb.Want          { return p.wants }
+func (p *fakeEnvironment) NoteOwner(wire.Change, uint64)          {}
+func (p *fakeEnvironment) Fresh() bool                            { return true }
+func (p *fakeEnvironment) OwnerOf(string) (cluster.Owner, bool)   { return cluster.Owner{}, false }
+func (p *fakeEnvironment) NewTransfer(string, map[string]json.RawMessage) (cluster.TransferWrite, bool) {
+	return cluster.TransferWrite{}, false
+}
+func (p *fakeEnvironment) Active(id string) *job.Record { return p.active[id] }
+func (p *fakeEnvironment) Readiness(r *job.Record) job.Readiness {
+	if standing, ok := p.readiness[r.Job.ID]; ok {
+		return standing
+	}
+	return job.Readiness{EffectivePriority: job.EffectivePriority{Rank: r.Job.Priority.Rank()}, Ready: true}
+}
+func (p *fakeEnvironment) AllActive() []*job.Record         { return p.allActive }
+func (p *fakeEnvironment) Ended(string) bool                { return false }
+func (p *fakeEnvironment) Listen(job.Listener)              {}
+func (p *fakeEnvironment) SetProgress(string, job.Progress) {}
+func (p *fakeEnvironment) Resolve(context.Context, string) (job.Resolution, error) {
+	return job.Resolution{}, nil
+}
+func (p *fakeEnvironment) ReadDone(context.Context) ([]job.DoneBucket, error) { return nil, nil }
+func (p *fakeEnvironment) Finish(_ context.Context, _ *job.Record, fence state.FencingCondition) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.fences = append(p.fences, fence)
+	return nil
+}
+func (p *fakeEnvironment) Commit(_ context.Context, w state.Write) (uint64, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.commitErr != nil {
+		return 0, p.commitErr
+	}
+	p.writes = append(p.writes, w)
+	return 1, nil
+}
+func (p *fakeEnvironment) Command(_ context.Context, _ string, _ *wire.CommandRequest) (*wire.Heartbeat, error) {
+	return nil, context.DeadlineExceeded
+}
+func (p *fakeEnvironment) Status(context.Context, string) (*wire.Heartbeat, error) {
+	if p.probeReply != nil {
+		return p.probeReply, nil
+	}
+	return nil, context.DeadlineExceeded
+}
+
+// unguardedActions are actions of a deployment without duties and without a cloud.
+func unguardedActions() *duty.Actions {
+	return duty.Unguarded(nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
+}
+
+// newTestScheduler makes a loaded scheduler of node "me" with one machine of 8 CPUs,
+// beside a member "peer" that owns the team "theirs".
+func newTestScheduler(t *testing.T) (*Scheduler, *fakeEnvironment, *machine) {
+	t.Helper()
+	p := &fakeEnvironment{active: map[string]*job.Record{}, epoch: cluster.Epoch{
+		Token: 5, Leader: "me",
+		Members: map[string]cluster.Member{"me": {Incarnation: 1, Since: 3}, "peer": {Incarnation: 2, Since: 4}},
+		Teams:   map[string]string{"ours": "me", "theirs": "peer"},
+	}}
+	s := New(Options{
+		Node: "me", Authority: p, Workers: p, Jobs: p, Committer: p, Records: p, PlaceRequests: &remote.RequestHistory{}, Actions: unguardedActions(),
+		Settings: &config.Settings{HeartbeatInterval: time.Second, LeaseDuration: 10 * time.Second, CancelTimeout: 20 * time.Second, MaxValueBytes: 16 << 10, MaxTxnOps: 16},
+		Types:    []wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 32, CacheGB: 10, Zones: []string{"z"}}},
+		Latency:  func() time.Duration { return p.latency },
+		Log:      slog.New(slog.NewTextHandler(io.Discard, nil)),
+	})
+	s.ctx, s.group = context.Background(), &errgroup.Group{}
+	view := p.View()
+	s.takeEpochLocked(view)
+	s.loaded, s.adoptedToken = true, view.Epoch.Token
+	m := s.addMachineLocked(fleet.NewMachine("m1"), time.Now())
+	if !s.applyLocked(m, &wire.Heartbeat{Machine: "m1", Address: "m1", Type: "m", Zone: "z", Incarnation: 1, Seq: 1, FencingToken: 5}) {
+		t.Fatal("the first heartbeat was not taken")
+	}
+	return s, p, m
+}
+
+func (p *fakeEnvironment) add(id, team string, priority wire.Priority, tasks int, cpus float64) *job.Record {
+	r := &job.Record{Job: wire.Job{ID: id, Team: team, Kind: wire.KindArray, Priority: priority, Tasks: tasks, CPUs: cpus, Image: "i"}, Version: 1}
+	p.active[id] = r
+	return r
+}
+
+func placeRequestFor(id string, attempts ...uint64) *peerpb.PlaceRequest {
+	w := &peerpb.Wanted{Job: id, Pending: uint32(len(attempts))}
+	for i, a := range attempts {
+		w.Attempts = append(w.Attempts, &peerpb.Attempt{Task: wire.TaskID(id, i), Attempt: a})
+	}
+	return &peerpb.PlaceRequest{Node: "peer", Token: 5, Wanted: []*peerpb.Wanted{w}}
+}
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -29,7 +29,7 @@
 			queued.UnplacedSince = time.Time{}
 			return
 		}
-		m := s.findForGangTaskLocked(queued, now)
+		m := s.findMachineForGangTaskLocked(queued, now)
 		if m == nil {
 			break
 		}
@@ -50,9 +50,9 @@
 	}
 }
 
-// findForGangTaskLocked finds a machine for a gang's next task, one that holds its
+// findMachineForGangTaskLocked finds a machine for a gang's next task, one that holds its
 // image first; nil if there is none.
-func (s *Scheduler) findForGangTaskLocked(queued *queue.Job, now time.Time) *machine {
+func (s *Scheduler) findMachineForGangTaskLocked(queued *queue.Job, now time.Time) *machine {
 	const guaranteed = false // counts only for services, for which others are stopped
 	if m, _ := s.findWithImageLocked(queued, now, guaranteed); m != nil {
 		return m
@@ -71,7 +71,7 @@
 		b.machine.Attempts.Delete(b.attempt.Key)
 		b.machine.packing.RoomChanged()
 		b.machine.record.Dirty = b.wasDirty
-		s.releaseAttemptLocked(b.attempt)
+		s.uncountWithoutWakeLocked(b.attempt)
 		s.updateOpenLocked(b.machine)
 	}
 }
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -67,7 +67,7 @@
 	if s.unknownTasksTooLongLocked(heartbeat, now) {
 		return nil
 	}
-	s.answeredUnadopted[heartbeat.Machine] = now
+	s.preAdoptionReplies[heartbeat.Machine] = now
 	reply.Commands = s.stopEndedJobsLocked(heartbeat)
 	return reply
 }
@@ -184,7 +184,7 @@
 		case fleet.Found:
 			s.adoptAttemptLocked(m, a)
 			if a.Exited() {
-				s.attemptExitedLocked(m, a)
+				s.handleAttemptExitLocked(m, a)
 			}
 		case fleet.Started:
 			s.log.Debug("started", "task", a.Task, "machine", m.Name, "after", time.Since(a.Placed))
@@ -192,7 +192,7 @@
 				queued.Succeeded = true
 			}
 		case fleet.Exited:
-			s.attemptExitedLocked(m, a)
+			s.handleAttemptExitLocked(m, a)
 		case fleet.Lost:
 			log := s.log.Info
 			if a.Restored {
--- a/internal/scheduler/hostedattempts.go
+++ b/internal/scheduler/hostedattempts.go
@@ -50,7 +50,7 @@
 		}
 	}
 	for _, attempt := range req.Attempts {
-		reply.Hosted = append(reply.Hosted, s.settledLocked(attempt, here, now))
+		reply.Hosted = append(reply.Hosted, s.settleAttemptLocked(attempt, here, now))
 	}
 	s.deniedAttempts.Expire(now)
 	return reply
@@ -63,9 +63,9 @@
 	return s.loaded && s.epoch.Token >= req.Token && s.epoch.Members[s.opts.Node].Since == req.Since && !adopting
 }
 
-// settledLocked answers what became of an attempt, and denies it for good if it is
+// settleAttemptLocked answers what became of an attempt, and denies it for good if it is
 // not here.
-func (s *Scheduler) settledLocked(attempt *peerpb.Attempt, here map[fleet.Key]hostedAttempt, now time.Time) *peerpb.Hosted {
+func (s *Scheduler) settleAttemptLocked(attempt *peerpb.Attempt, here map[fleet.Key]hostedAttempt, now time.Time) *peerpb.Hosted {
 	key := remote.KeyOf(attempt)
 	found := here[key]
 	if found.attempt == nil {
--- a/internal/scheduler/hosting.go
+++ b/internal/scheduler/hosting.go
@@ -80,7 +80,7 @@
 		if !ok || s.deniedAttempts.Denied(remote.KeyOf(attempt)) {
 			continue
 		}
-		if !s.hostNextLocked(r, attempt, index, now) {
+		if !s.hostNextAttemptLocked(r, attempt, index, now) {
 			break
 		}
 	}
@@ -106,24 +106,24 @@
 	return queued
 }
 
-// hostNextLocked places the next attempt that is requested, or hands over
+// hostNextAttemptLocked places the next attempt that is requested, or hands over
 // machines for it. It returns false if the others need not be tried.
-func (s *Scheduler) hostNextLocked(r *jobRequest, attempt *peerpb.Attempt, index int, now time.Time) bool {
+func (s *Scheduler) hostNextAttemptLocked(r *jobRequest, attempt *peerpb.Attempt, index int, now time.Time) bool {
 	if r.record.Job.Kind == wire.KindGang {
 		s.handOverForGangLocked(r, now)
 		return false
 	}
-	m, making := s.findForHostedLocked(r, now)
+	m, making := s.findMachineForHostedLocked(r, now)
 	if m == nil {
 		r.reply.Making = r.reply.Making || making
 		return false
 	}
 	if !r.overloaded && s.canHandOverLocked(m, now) {
 		// The owner places there itself.
-		r.reply.Given += uint32(s.handOverForLocked(r.job, m, r.from, r.pending(), now))
+		r.reply.Given += uint32(s.handOverToOwnerLocked(r.job, m, r.from, r.pending(), now))
 		return false
 	}
-	s.hostLocked(r, attempt, index, m, now)
+	s.hostAttemptLocked(r, attempt, index, m, now)
 	r.reply.Taken = append(r.reply.Taken, &peerpb.Hosted{Attempt: attempt, Zone: m.Zone, Known: true})
 	return true
 }
@@ -141,9 +141,9 @@
 	}
 }
 
-// findForHostedLocked finds a machine for the next task of a request: one that
+// findMachineForHostedLocked finds a machine for the next task of a request: one that
 // holds its image first. making tells that room is being made instead.
-func (s *Scheduler) findForHostedLocked(r *jobRequest, now time.Time) (m *machine, making bool) {
+func (s *Scheduler) findMachineForHostedLocked(r *jobRequest, now time.Time) (m *machine, making bool) {
 	m, making = s.findWithImageLocked(r.job, now, r.wanted.Guaranteed)
 	if m != nil || making || r.wanted.Held {
 		return m, making
@@ -154,8 +154,8 @@
 	return nil, s.preemptLocked(r.job, now, queue.ImageOptional, r.wanted.Guaranteed)
 }
 
-// hostLocked books an attempt of another controller's job on a machine.
-func (s *Scheduler) hostLocked(r *jobRequest, attempt *peerpb.Attempt, index int, m *machine, now time.Time) {
+// hostAttemptLocked books an attempt of another controller's job on a machine.
+func (s *Scheduler) hostAttemptLocked(r *jobRequest, attempt *peerpb.Attempt, index int, m *machine, now time.Time) {
 	id := r.wanted.Job
 	a := &fleet.Attempt{Key: remote.KeyOf(attempt), Job: id, Index: index, Hosted: true, Epoch: s.epoch.Token}
 	a.Describe(&r.record.Job, r.job.EffectivePriority)
@@ -168,11 +168,11 @@
 	s.log.Debug("placed", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "image_held", m.HasImage(a.Image), "for", r.from)
 }
 
-// handOverForLocked hands over to a controller that starves the first machine
+// handOverToOwnerLocked hands over to a controller that starves the first machine
 // and as many more idle ones as the job's pending tasks need, but keeps as
 // many as it hands over: the next controller may need them as much. It returns
 // how many it handed over.
-func (s *Scheduler) handOverForLocked(queued *queue.Job, first *machine, node string, pending int, now time.Time) int {
+func (s *Scheduler) handOverToOwnerLocked(queued *queue.Job, first *machine, node string, pending int, now time.Time) int {
 	tasksPerMachine := max(1, int(1/max(queued.DominantShare, 1e-3)))
 	needed := (pending + tasksPerMachine - 1) / tasksPerMachine
 	chosen := []*machine{first}
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -10,8 +10,8 @@
 	"heronwick/wire"
 )
 
-// resolveRetryAfter is how long after a failed look-up of a job the next one is.
-const resolveRetryAfter = 300 * time.Millisecond
+// resolveRetryDelay is how long after a failed look-up of a job the next one is.
+const resolveRetryDelay = 300 * time.Millisecond
 
 // resolveJobLocked looks up a job that is not among the active ones, since tasks
 // of it may be on machines: it is over, or only not heard of yet.
@@ -22,7 +22,7 @@
 	s.resolvingJobs[id] = true
 	s.spawn(func(ctx context.Context) {
 		for !s.resolveJob(ctx, id) {
-			if !wait.Sleep(ctx, resolveRetryAfter) {
+			if !wait.Sleep(ctx, resolveRetryDelay) {
 				return
 			}
 		}
@@ -72,7 +72,7 @@
 			if a.Job == record.Job.ID && !a.Sized {
 				s.adoptAttemptLocked(m, a)
 				if a.Exited() && !a.Handled {
-					s.attemptExitedLocked(m, a)
+					s.handleAttemptExitLocked(m, a)
 				}
 			}
 		}
@@ -116,20 +116,20 @@
 	s.completions.Forget(id)
 	delete(s.jobs, id)
 	delete(s.hostedJobs, id)
-	s.endTasksLocked(id, outcome, goneBy)
+	s.stopTasksLocked(id, outcome, goneBy)
 }
 
-// endTasksLocked stops every task of a job that is over, also those whose
+// stopTasksLocked stops every task of a job that is over, also those whose
 // start may still be under way. goneBy is when they must surely be gone.
-func (s *Scheduler) endTasksLocked(id string, outcome job.Outcome, goneBy time.Time) {
+func (s *Scheduler) stopTasksLocked(id string, outcome job.Outcome, goneBy time.Time) {
 	for _, m := range s.machines {
-		s.endTasksOnLocked(m, id, outcome, goneBy)
+		s.stopTasksOnLocked(m, id, outcome, goneBy)
 	}
 	s.wakeLoop()
 }
 
-// endTasksOnLocked stops those of the tasks that are on one machine.
-func (s *Scheduler) endTasksOnLocked(m *machine, id string, outcome job.Outcome, goneBy time.Time) {
+// stopTasksOnLocked stops those of the tasks that are on one machine.
+func (s *Scheduler) stopTasksOnLocked(m *machine, id string, outcome job.Outcome, goneBy time.Time) {
 	if outcome.State == wire.JobDone {
 		goneBy = time.Time{} // its user relies on no time by which its tasks are gone
 	}
@@ -150,7 +150,7 @@
 		}
 		a.Stop, a.GraceS, a.MustGoBy = true, 0, goneBy
 		if !a.Sized {
-			a.Team, a.Size, a.Sized = outcome.Team, sizeOf(outcome), true
+			a.Team, a.Size, a.Sized = outcome.Team, outcomeTaskSize(outcome), true
 			if s.epoch.OwnerOf(outcome.Team, id) == s.opts.Node {
 				s.countAttemptLocked(m.Zone, a)
 			}
--- a/internal/scheduler/loop.go
+++ b/internal/scheduler/loop.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// upkeep is when the rarer parts of a tick were last done. Only the loop uses it.
-type upkeep struct {
+// maintenance is when the rarer parts of a tick were last done. Only the loop uses it.
+type maintenance struct {
 	logged, tidied, summarized, closed time.Time
 }
 
@@ -51,22 +51,22 @@
 	s.rebalanceIdleLocked(now)
 	s.shedIdleMachinesLocked(now)
 	s.watchMachinesLocked(now)
-	if now.Sub(s.upkeep.summarized) >= summarizeInterval {
-		s.upkeep.summarized = now
+	if now.Sub(s.maintenance.summarized) >= summarizeInterval {
+		s.maintenance.summarized = now
 		s.summarizeLocked(now)
 	}
 	s.flushDoneTasksLocked(now)
 	s.announceReleasesLocked()
-	if now.Sub(s.upkeep.closed) > closeReturnsInterval {
-		s.upkeep.closed = now
+	if now.Sub(s.maintenance.closed) > closeReturnsInterval {
+		s.maintenance.closed = now
 		s.closeReturnsLocked()
 	}
-	if now.Sub(s.upkeep.tidied) > tidyInterval {
-		s.upkeep.tidied = now
+	if now.Sub(s.maintenance.tidied) > tidyInterval {
+		s.maintenance.tidied = now
 		s.tidyRecordsLocked(now)
 	}
-	if now.Sub(s.upkeep.logged) > logLoadInterval {
-		s.upkeep.logged = now
+	if now.Sub(s.maintenance.logged) > logLoadInterval {
+		s.maintenance.logged = now
 		s.logLoadLocked(now)
 	}
 }
@@ -89,14 +89,14 @@
 	return took
 }
 
-// passTimes sums how long passes took. Only the loop uses it.
-type passTimes struct {
+// passStats sums how long passes took. Only the loop uses it.
+type passStats struct {
 	count          int
 	total, longest time.Duration
 }
 
 // add counts a pass.
-func (p *passTimes) add(took time.Duration) {
+func (p *passStats) add(took time.Duration) {
 	p.count, p.total, p.longest = p.count+1, p.total+took, max(p.longest, took)
 }
 
--- a/internal/scheduler/machinewatch.go
+++ b/internal/scheduler/machinewatch.go
@@ -65,7 +65,7 @@
 	if !s.detector.Partitioned() || !s.leadsLocked() || now.Sub(s.resignedAt) <= resignAfter {
 		return
 	}
-	elsewhere := s.opts.Elsewhere()
+	elsewhere := s.opts.WorkersAtPeers()
 	settled := now.Sub(s.leaderSince) > resignAfter && elsewhere > len(s.machines)/3
 	if settled || elsewhere > assessment.Reachable {
 		s.resignedAt = now
--- a/internal/scheduler/options.go
+++ b/internal/scheduler/options.go
@@ -139,8 +139,8 @@
 	PlaceRequests *remote.RequestHistory
 	// Resign gives up leading.
 	Resign func(ctx context.Context)
-	// Elsewhere returns how many workers have lately come to a peer instead.
-	Elsewhere func() int
+	// WorkersAtPeers returns how many workers have lately come to a peer instead.
+	WorkersAtPeers func() int
 	// Latency returns how long goroutines lately waited for the processor; nil: that
 	// is not measured.
 	Latency func() time.Duration
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -16,7 +16,7 @@
 		return
 	}
 	waiting := s.eligibleJobsLocked(now)
-	if len(waiting) == 0 || !s.numbersLeftLocked(now) {
+	if len(waiting) == 0 || !s.ensureAttemptNumbersLocked(now) {
 		return
 	}
 	// Hosted jobs take their turn: what they want is kept free until their owner
@@ -67,17 +67,17 @@
 func (s *Scheduler) serveTurnLocked(turn []queue.Entry, now time.Time) {
 	s.fetchDeferred = false
 	for _, entry := range turn {
-		s.serveLocked(entry.Job, now, queue.ImageRequired)
+		s.serveJobLocked(entry.Job, now, queue.ImageRequired)
 	}
 	for _, entry := range turn {
-		s.serveLocked(entry.Job, now, queue.ImageOptional)
+		s.serveJobLocked(entry.Job, now, queue.ImageOptional)
 	}
 }
 
-// serveLocked places tasks of a job, or reserves room for a hosted one. Only of arrays
+// serveJobLocked places tasks of a job, or reserves room for a hosted one. Only of arrays
 // and hosted jobs it depends on images where: the others are served once, in the
 // first round of a turn.
-func (s *Scheduler) serveLocked(queued *queue.Job, now time.Time, images queue.ImagePolicy) {
+func (s *Scheduler) serveJobLocked(queued *queue.Job, now time.Time, images queue.ImagePolicy) {
 	switch {
 	case queued.Hosted:
 		s.packer.Reserve(queued, maxRequestTasksPerJob, images, now)
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -24,12 +24,12 @@
 			queued.UnplacedSince = time.Time{} // more machines would not help
 			return
 		}
-		m, waits := s.findForTaskLocked(queued, now, images)
+		m, waits := s.findMachineForTaskLocked(queued, now, images)
 		if waits {
 			return
 		}
 		if m == nil {
-			s.noRoomLocked(queued, now)
+			s.handleNoRoomLocked(queued, now)
 			return
 		}
 		queued.Dequeue()
@@ -37,17 +37,17 @@
 	}
 }
 
-// findForTaskLocked finds a machine for the job's next task, nil if there is no
+// findMachineForTaskLocked finds a machine for the job's next task, nil if there is no
 // room. waits tells that the task waits although there may be room: for what is
 // being stopped beside its image, for the other schedulers' answers, or for others
 // that need no fetch there.
-func (s *Scheduler) findForTaskLocked(queued *queue.Job, now time.Time, images queue.ImagePolicy) (m *machine, waits bool) {
+func (s *Scheduler) findMachineForTaskLocked(queued *queue.Job, now time.Time, images queue.ImagePolicy) (m *machine, waits bool) {
 	full := s.packer.Full(queued, now)
 	if full && !queued.IsService() {
 		return nil, false
 	}
 	m, making := s.findWithImageLocked(queued, now, s.teams.Guaranteed(queued))
-	if making || m == nil && s.awaitImageLocked(queued, now) {
+	if making || m == nil && s.awaitRemoteImageLocked(queued, now) {
 		return nil, true
 	}
 	switch {
@@ -76,9 +76,9 @@
 	return s.fetchDeferred
 }
 
-// noRoomLocked notes that a job's next task finds no room, and stops other tasks
+// handleNoRoomLocked notes that a job's next task finds no room, and stops other tasks
 // for it as far as the rules permit.
-func (s *Scheduler) noRoomLocked(queued *queue.Job, now time.Time) {
+func (s *Scheduler) handleNoRoomLocked(queued *queue.Job, now time.Time) {
 	s.packer.SetFull(queued)
 	if queued.UnplacedSince.IsZero() {
 		queued.UnplacedSince = now
@@ -109,9 +109,9 @@
 // fetched.
 const imageWaitTimeout = 300 * time.Millisecond
 
-// awaitImageLocked reports whether the other schedulers may still answer that they have
+// awaitRemoteImageLocked reports whether the other schedulers may still answer that they have
 // room beside the job's image.
-func (s *Scheduler) awaitImageLocked(queued *queue.Job, now time.Time) bool {
+func (s *Scheduler) awaitRemoteImageLocked(queued *queue.Job, now time.Time) bool {
 	if queued.Record.Job.Kind != wire.KindService || len(s.epoch.Members) < 2 {
 		return false
 	}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -13,9 +13,9 @@
 	// victimSearchInterval is how soon tasks to stop are searched for again where none
 	// was found: that goes over every task of the scheduler.
 	victimSearchInterval = 300 * time.Millisecond
-	// preemptAgainAfter is for how long tasks that are being stopped for a job
+	// preemptionTimeout is for how long tasks that are being stopped for a job
 	// are awaited before more are stopped for it.
-	preemptAgainAfter = 2 * time.Second
+	preemptionTimeout = 2 * time.Second
 )
 
 // victimSummary is what one pass over the queue has found out about the tasks
@@ -61,7 +61,7 @@
 		return false
 	}
 	// What was stopped a moment ago has not made its room yet.
-	if now.Sub(queued.PreemptedAt) < preemptAgainAfter && s.stoppingLocked() {
+	if now.Sub(queued.PreemptedAt) < preemptionTimeout && s.anyStoppingLocked() {
 		return true
 	}
 	req := &preemption.Request{
@@ -74,7 +74,7 @@
 		return false
 	}
 	queued.PreemptedAt = now
-	s.carryOutPreemptionLocked(queued, plan, now)
+	s.executePreemptionLocked(queued, plan, now)
 	return true
 }
 
@@ -96,9 +96,9 @@
 	}
 }
 
-// carryOutPreemptionLocked stops the victims. Room that they leave to a hosted
+// executePreemptionLocked stops the victims. Room that they leave to a hosted
 // job is kept for it: it is not in this scheduler's queue.
-func (s *Scheduler) carryOutPreemptionLocked(queued *queue.Job, plan *preemption.Plan, now time.Time) {
+func (s *Scheduler) executePreemptionLocked(queued *queue.Job, plan *preemption.Plan, now time.Time) {
 	m := s.machines[plan.Machine.Name]
 	if queued.Hosted {
 		m.packing.Reserve(queued.Record.Job.ID, queued.Size, now)
@@ -110,8 +110,8 @@
 	s.sendCommandsLocked(m)
 }
 
-// stoppingLocked reports whether any task is being stopped.
-func (s *Scheduler) stoppingLocked() bool {
+// anyStoppingLocked reports whether any task is being stopped.
+func (s *Scheduler) anyStoppingLocked() bool {
 	for _, m := range s.machines {
 		for _, a := range m.Attempts.All() {
 			if a.Stop && !a.Exited() {
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// progressRepeatFor is how long a change of progress is sent, so that a lost
+	// progressRepeatDuration is how long a change of progress is sent, so that a lost
 	// message does not hide it.
-	progressRepeatFor = 3 * time.Second
-	// allProgressInterval is how often that of all jobs is sent: to a controller that
+	progressRepeatDuration = 3 * time.Second
+	// fullProgressInterval is how often that of all jobs is sent: to a controller that
 	// has started since, a job whose progress does not change would stay queued.
-	allProgressInterval = 20 * time.Second
+	fullProgressInterval = 20 * time.Second
 )
 
 // Progress returns how far the jobs are whose progress has changed lately, and
@@ -24,16 +24,16 @@
 	now := time.Now()
 	running := s.runningTasksLocked()
 	changed := map[string]job.Progress{}
-	if now.Sub(s.allProgressAt) >= allProgressInterval {
-		s.allProgressAt = now
+	if now.Sub(s.fullProgressAt) >= fullProgressInterval {
+		s.fullProgressAt = now
 	}
-	all := now.Sub(s.allProgressAt) < progressRepeatFor
+	all := now.Sub(s.fullProgressAt) < progressRepeatDuration
 	for id, queued := range s.jobs {
 		progress := job.Progress{Done: queued.Done.Count, Running: running[id]}
 		if progress != queued.ReportedProgress {
 			queued.ReportedProgress, queued.ProgressChangedAt = progress, now
 		}
-		if all || now.Sub(queued.ProgressChangedAt) < progressRepeatFor {
+		if all || now.Sub(queued.ProgressChangedAt) < progressRepeatDuration {
 			changed[id] = progress
 		}
 	}
--- a/internal/scheduler/remoteplacement.go
+++ b/internal/scheduler/remoteplacement.go
@@ -32,15 +32,15 @@
 	s.countAttemptLocked(zone, a)
 }
 
-// forgetRemoteLocked drops a remote attempt: it is surely gone, or not this
+// untrackRemoteLocked drops a remote attempt: it is surely gone, or not this
 // scheduler's to count any more.
-func (s *Scheduler) forgetRemoteLocked(a *remote.Attempt) {
+func (s *Scheduler) untrackRemoteLocked(a *remote.Attempt) {
 	s.remoteAttempts.Delete(a.Key)
 	s.uncountAttemptLocked(a.Attempt)
 }
 
-// moveZoneLocked notes in which zone a remote attempt is.
-func (s *Scheduler) moveZoneLocked(a *remote.Attempt, zone string) {
+// setRemoteZoneLocked notes in which zone a remote attempt is.
+func (s *Scheduler) setRemoteZoneLocked(a *remote.Attempt, zone string) {
 	if !a.Counted || a.Zone == zone {
 		return
 	}
@@ -52,7 +52,7 @@
 
 // placeRemotelyLocked requests room for what waits from the other controllers.
 func (s *Scheduler) placeRemotelyLocked(now time.Time) {
-	if !s.loaded || !s.permitted() || len(s.epoch.Members) < 2 || !s.numbersLeftLocked(now) {
+	if !s.loaded || !s.permitted() || len(s.epoch.Members) < 2 || !s.ensureAttemptNumbersLocked(now) {
 		return
 	}
 	waiting, urgent := s.remoteCandidatesLocked(now)
@@ -72,7 +72,7 @@
 func (s *Scheduler) remoteCandidatesLocked(now time.Time) (waiting []*queue.Job, urgent bool) {
 	for _, queued := range s.jobs {
 		awaitsImage := now.Sub(queued.ImageWaitSince) < imageWaitTimeout
-		if (awaitsImage || !queued.UnplacedSince.IsZero()) && s.mayGoElsewhereLocked(queued, now) {
+		if (awaitsImage || !queued.UnplacedSince.IsZero()) && s.canPlaceTaskLocked(queued, now) {
 			waiting = append(waiting, queued)
 			urgent = urgent || awaitsImage
 		}
@@ -80,9 +80,9 @@
 	return waiting, urgent
 }
 
-// mayGoElsewhereLocked reports whether a task of the job may be placed now, on any
+// canPlaceTaskLocked reports whether a task of the job may be placed now, on any
 // controller's machines.
-func (s *Scheduler) mayGoElsewhereLocked(queued *queue.Job, now time.Time) bool {
+func (s *Scheduler) canPlaceTaskLocked(queued *queue.Job, now time.Time) bool {
 	return queued.Pending() > 0 && s.teams.WithinLimit(queued, 1) && !now.Before(queued.NotBefore) && !queued.FailsEverywhere()
 }
 
@@ -103,7 +103,7 @@
 // remotely before the request goes out: without an answer the peer may have
 // taken them.
 func (s *Scheduler) requestPlacementLocked(node string, waiting []*queue.Job) {
-	req := s.placeRequestLocked(node, waiting)
+	req := s.buildPlaceRequestLocked(node, waiting)
 	if len(req.Wanted) == 0 {
 		return
 	}
@@ -112,7 +112,7 @@
 		reply, err := s.sendPlaceRequest(ctx, node, req)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.takePlaceReplyLocked(node, req, reply, err)
+		s.applyPlaceReplyLocked(node, req, reply, err)
 	})
 }
 
@@ -124,17 +124,17 @@
 	return s.opts.Peers.Place(ctx, node, req)
 }
 
-// placeRequestLocked builds a request for room for at most maxRequestTasks
+// buildPlaceRequestLocked builds a request for room for at most maxRequestTasks
 // tasks of the waiting jobs, maxRequestTasksPerJob of each, and tracks each as
 // a remote attempt on node.
-func (s *Scheduler) placeRequestLocked(node string, waiting []*queue.Job) *peerpb.PlaceRequest {
+func (s *Scheduler) buildPlaceRequestLocked(node string, waiting []*queue.Job) *peerpb.PlaceRequest {
 	req := &peerpb.PlaceRequest{Node: s.opts.Node, Token: s.epoch.Token}
 	requested := 0
 	for _, queued := range waiting {
 		if requested >= maxRequestTasks {
 			break
 		}
-		wanted := s.wantedLocked(queued, node, maxRequestTasks-requested)
+		wanted := s.buildWantedLocked(queued, node, maxRequestTasks-requested)
 		requested += len(wanted.Attempts)
 		if len(wanted.Attempts) > 0 {
 			req.Wanted = append(req.Wanted, wanted)
@@ -143,9 +143,9 @@
 	return req
 }
 
-// wantedLocked takes up to budget next tasks of queued, maxRequestTasksPerJob at
+// buildWantedLocked takes up to budget next tasks of queued, maxRequestTasksPerJob at
 // most, as new attempts that are requested of node.
-func (s *Scheduler) wantedLocked(queued *queue.Job, node string, budget int) *peerpb.Wanted {
+func (s *Scheduler) buildWantedLocked(queued *queue.Job, node string, budget int) *peerpb.Wanted {
 	wanted := &peerpb.Wanted{
 		Job:        queued.Record.Job.ID,
 		Guaranteed: s.teams.Guaranteed(queued),
@@ -173,10 +173,10 @@
 	return wanted
 }
 
-// takePlaceReplyLocked takes the peer's answer to req: the attempts that it
+// applyPlaceReplyLocked takes the peer's answer to req: the attempts that it
 // took move to their zone, the others are forgotten. Without an answer (err),
 // they stay tracked until they are settled.
-func (s *Scheduler) takePlaceReplyLocked(node string, req *peerpb.PlaceRequest, reply *peerpb.PlaceReply, err error) {
+func (s *Scheduler) applyPlaceReplyLocked(node string, req *peerpb.PlaceRequest, reply *peerpb.PlaceReply, err error) {
 	if err != nil {
 		s.log.Debug("asking for room failed", "peer", node, "err", err)
 	}
@@ -187,7 +187,7 @@
 	}
 	for _, wanted := range req.Wanted {
 		for _, attempt := range wanted.Attempts {
-			s.takePlacedAttemptLocked(node, wanted.Job, remote.KeyOf(attempt), taken, err)
+			s.applyPlacedAttemptLocked(node, wanted.Job, remote.KeyOf(attempt), taken, err)
 		}
 	}
 	s.wakeLoop()
@@ -205,9 +205,9 @@
 	}
 }
 
-// takePlacedAttemptLocked settles one attempt of a placement request by the
+// applyPlacedAttemptLocked settles one attempt of a placement request by the
 // answer: taken holds those that the peer took.
-func (s *Scheduler) takePlacedAttemptLocked(node, job string, key fleet.Key, taken map[fleet.Key]*peerpb.Hosted, err error) {
+func (s *Scheduler) applyPlacedAttemptLocked(node, job string, key fleet.Key, taken map[fleet.Key]*peerpb.Hosted, err error) {
 	if queued := s.jobs[job]; queued != nil {
 		queued.Requested--
 	}
@@ -220,9 +220,9 @@
 		return // it stays until it is settled
 	}
 	if hosted := taken[key]; hosted != nil {
-		s.moveZoneLocked(a, hosted.Zone)
+		s.setRemoteZoneLocked(a, hosted.Zone)
 		s.log.Debug("placed remotely", "task", key.Task, "attempt", key.Attempt, "to", node)
 		return
 	}
-	s.forgetRemoteLocked(a)
+	s.untrackRemoteLocked(a)
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -41,17 +41,17 @@
 	mu sync.Mutex
 
 	// The epoch that it acts under, and what was taken over under it.
-	epoch             epochState
-	loaded            bool                 // the records have been read
-	rebuilding        bool                 // rebuild is under way
-	startVersion      uint64               // version of the epoch under which the records were first read
-	adoptedToken      uint64               // under this token, machines without an owner were adopted
-	answeredUnadopted map[string]time.Time // when workers were last answered before their machines were adopted
-	tokenSync         tokenSync
-	raisingToken      bool      // AdvanceEpoch is under way
-	raiseAttemptedAt  time.Time // when it was last called
-	leaderSince       time.Time // when this controller last began to lead
-	resignedAt        time.Time // when it last gave that up
+	epoch              epochState
+	loaded             bool                 // the records have been read
+	rebuilding         bool                 // rebuild is under way
+	startVersion       uint64               // version of the epoch under which the records were first read
+	adoptedToken       uint64               // under this token, machines without an owner were adopted
+	preAdoptionReplies map[string]time.Time // when workers were last answered before their machines were adopted
+	tokenSync          tokenSync
+	raisingToken       bool      // AdvanceEpoch is under way
+	raiseAttemptedAt   time.Time // when it was last called
+	leaderSince        time.Time // when this controller last began to lead
+	resignedAt         time.Time // when it last gave that up
 
 	// Jobs and the tasks that wait.
 	teams          *queue.Teams
@@ -60,7 +60,7 @@
 	resolvingJobs  map[string]bool       // jobs being looked up
 	attemptNumbers fleet.AttemptNumbers
 	lastSerial     uint64    // numbers what must never be named alike under one token
-	allProgressAt  time.Time // when Progress last began to return all jobs
+	fullProgressAt time.Time // when Progress last began to return all jobs
 
 	// Machines: what may be on them, and where tasks are placed.
 	machines          map[string]*machine
@@ -90,23 +90,23 @@
 	shedAt       time.Time          // when some were last handed over for want of processor time
 	overloadedAt time.Time          // when this controller was last short of processor time
 
-	passes passTimes // since the load was last logged
-	upkeep upkeep
+	passes      passStats // since the load was last logged
+	maintenance maintenance
 }
 
 // New returns a Scheduler for opts; Run starts it.
 func New(opts Options) *Scheduler {
 	s := &Scheduler{
 		opts: opts, log: opts.Log, types: map[string]*wire.MachineType{}, wake: make(chan struct{}, 1),
-		answeredUnadopted: map[string]time.Time{},
-		teams:             queue.NewTeams(opts.Settings.Teams),
-		jobs:              map[string]*queue.Job{},
-		hostedJobs:        map[string]*queue.Job{},
-		resolvingJobs:     map[string]bool{},
-		machines:          map[string]*machine{},
-		unknownTasksSince: map[string]time.Time{},
-		remoteAttempts:    remote.NewAttempts(),
-		inventory:         autoscale.NewInventory(),
+		preAdoptionReplies: map[string]time.Time{},
+		teams:              queue.NewTeams(opts.Settings.Teams),
+		jobs:               map[string]*queue.Job{},
+		hostedJobs:         map[string]*queue.Job{},
+		resolvingJobs:      map[string]bool{},
+		machines:           map[string]*machine{},
+		unknownTasksSince:  map[string]time.Time{},
+		remoteAttempts:     remote.NewAttempts(),
+		inventory:          autoscale.NewInventory(),
 	}
 	for i := range opts.Types {
 		s.types[opts.Types[i].Name] = &opts.Types[i]
@@ -134,7 +134,7 @@
 	defer s.opts.Jobs.Listen(nil)
 	group.Go(func() error { return s.loop(ctx) })
 	group.Go(func() error { return s.runCloud(ctx) })
-	group.Go(func() error { return s.runRemote(ctx) })
+	group.Go(func() error { return s.runSettling(ctx) })
 	return group.Wait()
 }
 
--- a/internal/scheduler/settle.go
+++ b/internal/scheduler/settle.go
@@ -16,8 +16,8 @@
 // settleInterval is how often the hosts of remote attempts are asked.
 const settleInterval = 400 * time.Millisecond
 
-// runRemote asks the hosts of remote attempts what became of them.
-func (s *Scheduler) runRemote(ctx context.Context) error {
+// runSettling asks the hosts of remote attempts what became of them.
+func (s *Scheduler) runSettling(ctx context.Context) error {
 	return wait.Every(ctx, settleInterval, func() {
 		s.mu.Lock()
 		requests := s.settleRequestsLocked()
@@ -38,22 +38,22 @@
 		if a.Requested {
 			continue
 		}
-		s.followHostLocked(a)
+		s.updateHostLocked(a)
 		if a.Host != s.opts.Node {
 			recorded := a.Handled || s.jobs[a.Job] == nil
 			requests.Add(a, recorded)
 		} else if s.loaded && s.adoptedToken == s.epoch.Token {
 			// Its machine was taken over here, without it.
-			s.forgetRemoteLocked(a)
+			s.untrackRemoteLocked(a)
 		}
 	}
 	return requests.ByHost()
 }
 
-// followHostLocked makes the leader the host of an attempt whose host's
+// updateHostLocked makes the leader the host of an attempt whose host's
 // membership is over, also when that controller is back: it knows nothing of
 // what it had taken before, whoever adopted its machines does.
-func (s *Scheduler) followHostLocked(a *remote.Attempt) {
+func (s *Scheduler) updateHostLocked(a *remote.Attempt) {
 	if s.epoch.Members[a.Host].Since != a.HostSince {
 		a.Host, a.HostSince = s.epoch.Leader, s.epoch.Members[s.epoch.Leader].Since
 	}
@@ -71,13 +71,13 @@
 	now := time.Now()
 	for _, attempt := range req.Handled {
 		if a := s.remoteAttempts.Get(remote.KeyOf(attempt)); a != nil {
-			s.forgetRemoteLocked(a)
+			s.untrackRemoteLocked(a)
 		}
 	}
 	for _, hosted := range reply.Hosted {
 		a := s.remoteAttempts.Get(remote.KeyOf(hosted.Attempt))
 		if a != nil && a.Host == node && !a.Exited() {
-			s.takeSettledLocked(a, hosted, now)
+			s.applySettledLocked(a, hosted, now)
 		}
 	}
 }
@@ -90,16 +90,16 @@
 	return s.opts.Peers.Settle(ctx, node, req)
 }
 
-// takeSettledLocked takes what its host answers about a remote attempt.
-func (s *Scheduler) takeSettledLocked(a *remote.Attempt, hosted *peerpb.Hosted, now time.Time) {
+// applySettledLocked takes what its host answers about a remote attempt.
+func (s *Scheduler) applySettledLocked(a *remote.Attempt, hosted *peerpb.Hosted, now time.Time) {
 	if !hosted.Known {
 		s.log.Info("task lost", "task", a.Task, "attempt", a.Attempt.Attempt, "host", a.Host)
-		s.forgetRemoteLocked(a)
+		s.untrackRemoteLocked(a)
 		return
 	}
-	s.moveZoneLocked(a, hosted.Zone)
+	s.setRemoteZoneLocked(a, hosted.Zone)
 	a.State, a.Why = wire.TaskState(hosted.State), wire.ExitReason(hosted.Why)
 	if a.Exited() {
-		s.attemptEndedLocked(a.Attempt, now)
+		s.applyAttemptExitLocked(a.Attempt, now)
 	}
 }
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -31,7 +31,7 @@
 		"tasks", tasks, "machines", len(s.machines), "usable", usable, "open", open, "booting", len(s.inventory.Booting()),
 		"cpus", available.total.CPUs, "free_cpus", available.free.CPUs, "free_memory_gb", available.free.MemoryGB,
 		"latency", s.detector.Latency(), "passes", s.passes.count, "pass_time", s.passes.total, "longest_pass", s.passes.longest)
-	s.passes = passTimes{}
+	s.passes = passStats{}
 }
 
 // capacity is what the usable machines have together.
