--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -68,7 +68,7 @@
 func (a *Attempt) Describe(j *wire.Job, rank int) {
 	a.Team, a.Rank, a.Service = j.Team, rank, j.Kind == wire.KindService
 	a.Image, a.ImageGB = j.Image, j.ImageGB
-	a.Size, a.Sized = placement.Of(j), true
+	a.Size, a.Sized = placement.TaskResources(j), true
 	if j.CheckpointS > 0 {
 		a.GraceS = saveGrace(j)
 	}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -34,8 +34,8 @@
 	return r.CPUs <= room.CPUs+slack && r.GPUs <= room.GPUs+slack && r.MemoryGB <= room.MemoryGB+slack
 }
 
-// Of returns the resources that each task of the job takes.
-func Of(j *wire.Job) Resources { return Resources{j.CPUs, j.GPUs, j.MemoryGB} }
+// TaskResources returns the resources that each task of the job takes.
+func TaskResources(j *wire.Job) Resources { return Resources{j.CPUs, j.GPUs, j.MemoryGB} }
 
 // Capacity returns the resources of a machine of the type.
 func Capacity(t *wire.MachineType) Resources { return Resources{t.CPUs, t.GPUs, t.MemoryGB} }
@@ -78,12 +78,12 @@
 	return true
 }
 
-// CanEver reports whether a task of the job fits an empty machine of some type that
+// FitsAnyType reports whether a task of the job fits an empty machine of some type that
 // the job allows.
-func CanEver(j *wire.Job, types []wire.MachineType) bool {
+func FitsAnyType(j *wire.Job, types []wire.MachineType) bool {
 	for i := range types {
 		t := &types[i]
-		if !Of(j).Within(Capacity(t)) {
+		if !TaskResources(j).Within(Capacity(t)) {
 			continue
 		}
 		for _, zone := range t.Zones {
--- a/internal/queue/job.go
+++ b/internal/queue/job.go
@@ -71,7 +71,7 @@
 // NewJob returns a job none of whose tasks is placed or done. objectives are
 // those of all classes, types the machine types by name.
 func NewJob(r *job.Record, objectives []config.Objective, types map[string]*wire.MachineType) *Job {
-	size := placement.Of(&r.Job)
+	size := placement.TaskResources(&r.Job)
 	return &Job{
 		Record: r, Size: size, AcceptedAt: time.UnixMilli(r.AcceptedMs),
 		DominantShare: dominantShare(size, types), Objectives: objectivesOf(&r.Job, objectives), ImageFetchTime: imageFetchTime(&r.Job, types),
--- a/internal/server/jobs.go
+++ b/internal/server/jobs.go
@@ -107,7 +107,7 @@
 	if err := s.checkTeam(job); err != nil {
 		return err
 	}
-	if !placement.CanEver(job, types) {
+	if !placement.FitsAnyType(job, types) {
 		return errFitsNoMachineType
 	}
 	return nil
@@ -127,7 +127,7 @@
 	if job.Kind != wire.KindArray {
 		concurrent = float64(job.Tasks)
 	}
-	needed := placement.Of(job).Times(concurrent)
+	needed := placement.TaskResources(job).Times(concurrent)
 	if team.CPUsMax > 0 && needed.CPUs > team.CPUsMax || team.GPUsMax > 0 && needed.GPUs > team.GPUsMax {
 		return &wire.FieldError{Field: wire.FieldTasks, Reason: "the job needs more than its team's limit"}
 	}
