--- a/internal/detector/assessment.go
+++ b/internal/detector/assessment.go
@@ -106,8 +106,8 @@
 	return a.fewHeartbeatsMissing && a.detector.HeartbeatsMissing(w, a.now)
 }
 
-// HeartbeatsMissingForGood reports whether it has been so for so long that another
+// HeartbeatsMissingPersistently reports whether it has been so for so long that another
 // machine is worth its price.
-func (a *Assessment) HeartbeatsMissingForGood(w *Worker) bool {
-	return a.fewHeartbeatsMissing && a.detector.heartbeatsMissingForGood(w, a.now)
+func (a *Assessment) HeartbeatsMissingPersistently(w *Worker) bool {
+	return a.fewHeartbeatsMissing && a.detector.heartbeatsMissingPersistently(w, a.now)
 }
--- a/internal/detector/detector.go
+++ b/internal/detector/detector.go
@@ -117,9 +117,9 @@
 	return now.Sub(w.LastUnsolicited) > d.settings.LeaseDuration*3/4 && !d.Suspected(w, now)
 }
 
-// heartbeatsMissingForGood reports whether it has been so for so long that another
+// heartbeatsMissingPersistently reports whether it has been so for so long that another
 // machine is worth its price.
-func (d *Detector) heartbeatsMissingForGood(w *Worker, now time.Time) bool {
+func (d *Detector) heartbeatsMissingPersistently(w *Worker, now time.Time) bool {
 	return d.HeartbeatsMissing(w, now) && now.Sub(w.LastUnsolicited) > 2*d.settings.LeaseDuration
 }
 
--- a/internal/detector/worker.go
+++ b/internal/detector/worker.go
@@ -94,9 +94,9 @@
 	w.lastProbe = now
 }
 
-// ProbedLately reports whether another probe now would be in vain: one is under way,
+// ProbedRecently reports whether another probe now would be in vain: one is under way,
 // or went out a moment ago.
-func (w *Worker) ProbedLately(now time.Time) bool {
+func (w *Worker) ProbedRecently(now time.Time) bool {
 	return w.requestPending || now.Sub(w.lastProbe) <= ProbeTimeout
 }
 
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -55,7 +55,7 @@
 	// Late or repeated: its reply will be dropped, and must not carry commands meant
 	// for the worker as it is now. Or the worker has started anew and counts from the
 	// beginning: a probe shows which.
-	if !m.ProbedLately(now) {
+	if !m.ProbedRecently(now) {
 		s.probeLocked(m, now)
 	}
 	return reply
--- a/internal/scheduler/machinewatch.go
+++ b/internal/scheduler/machinewatch.go
@@ -111,7 +111,7 @@
 		return autoscale.ReasonUnreachable
 	case m.quarantined && m.ActiveCount() == 0:
 		return autoscale.ReasonQuarantined
-	case m.ActiveCount() == 0 && assessment.HeartbeatsMissingForGood(&m.Worker):
+	case m.ActiveCount() == 0 && assessment.HeartbeatsMissingPersistently(&m.Worker):
 		return autoscale.ReasonSendsNoHeartbeats
 	}
 	return autoscale.NotReturned
--- a/internal/scheduler/probes.go
+++ b/internal/scheduler/probes.go
@@ -94,7 +94,7 @@
 func (s *Scheduler) probeSampleLocked(now time.Time) {
 	probed := map[string]int{}
 	for _, m := range s.machines {
-		if now.Sub(m.LastHeartbeat) > detector.ProbeTimeout && !m.ProbedLately(now) &&
+		if now.Sub(m.LastHeartbeat) > detector.ProbeTimeout && !m.ProbedRecently(now) &&
 			probed[m.Zone] < detector.SampleSize && s.probeRate.Allow() {
 			probed[m.Zone]++
 			s.probeLocked(m, now)
