--- a/internal/queue/job.go
+++ b/internal/queue/job.go
@@ -50,17 +50,17 @@
 	Succeeded bool            // a task of it has succeeded
 	NotBefore time.Time       // no task of it is placed before then
 
-	UnplacedSince  time.Time                // since when a task has found no room; zero: none waits
-	ImageFetchTime time.Duration            // about how long its image takes to fetch
-	DeferredSince  time.Time                // since when it leaves room where its image is not to others; zero: it does not
-	ImageWaitSince time.Time                // since when room beside its image is requested from other schedulers
-	PreemptedAt    time.Time                // when tasks were last stopped for this job
-	NoVictimAt     [imagePolicies]time.Time // when no task was last found to stop, by the machines searched
+	UnplacedSince   time.Time                // since when a task has found no room; zero: none waits
+	ImageFetchTime  time.Duration            // about how long its image takes to fetch
+	DeferredSince   time.Time                // since when it leaves room where its image is not to others; zero: it does not
+	ImageWaitSince  time.Time                // since when room beside its image is requested from other schedulers
+	PreemptedAt     time.Time                // when tasks were last stopped for this job
+	NoVictimFoundAt [imagePolicies]time.Time // when no task was last found to stop, by the machines searched
 
 	ReportedProgress  job.Progress
 	ProgressChangedAt time.Time // when ReportedProgress last changed
 
-	Requested int // tasks in placement requests that are under way
+	RequestedTasks int // tasks in placement requests that are under way
 
 	Hosted           bool
 	OwnerGuaranteed  bool      // hosted: its owner says that it is within its team's guarantee
--- a/internal/queue/tasks.go
+++ b/internal/queue/tasks.go
@@ -10,7 +10,7 @@
 
 // Unplaced counts the pending tasks and those that another scheduler is requested
 // to take.
-func (j *Job) Unplaced() int { return j.Pending() + j.Requested }
+func (j *Job) Unplaced() int { return j.Pending() + j.RequestedTasks }
 
 // Served counts the job's tasks that are done or may be on a machine.
 func (j *Job) Served() int {
--- a/internal/remote/attempts.go
+++ b/internal/remote/attempts.go
@@ -14,9 +14,9 @@
 	*fleet.Attempt
 	Host      string // the controller that may have taken it
 	HostSince uint64 // the host's membership; if that is over, the leader has its machines
-	// Requested tells that the placement request is in flight: settling the attempt
+	// RequestInFlight tells that the placement request is in flight: settling the attempt
 	// now would have the host deny it.
-	Requested bool
+	RequestInFlight bool
 }
 
 // Attempts are the remote attempts of one scheduler, by key.
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -50,7 +50,7 @@
 func (s *Scheduler) eligibleJobsLocked(now time.Time) (eligible []*queue.Job) {
 	for _, queued := range s.jobs {
 		if queued.Pending() <= 0 {
-			if queued.Requested == 0 {
+			if queued.RequestedTasks == 0 {
 				queued.UnplacedSince, queued.ImageWaitSince = time.Time{}, time.Time{}
 			}
 			continue
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -15,7 +15,7 @@
 	for {
 		index, ok := queued.NextTask()
 		if !ok {
-			if queued.Requested == 0 {
+			if queued.RequestedTasks == 0 {
 				queued.UnplacedSince = time.Time{}
 			}
 			return
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -56,7 +56,7 @@
 	if !s.mayPreemptAnyLocked(queued, guaranteed) {
 		return false
 	}
-	tried := &queued.NoVictimAt[images]
+	tried := &queued.NoVictimFoundAt[images]
 	if now.Sub(*tried) < victimSearchInterval {
 		return false
 	}
--- a/internal/scheduler/remoteplacement.go
+++ b/internal/scheduler/remoteplacement.go
@@ -164,10 +164,10 @@
 			break
 		}
 		queued.Dequeue()
-		queued.Requested++
+		queued.RequestedTasks++
 		a := s.newAttempt(queued, index)
 		s.trackRemoteLocked(a, node, "")
-		s.remoteAttempts.Get(a.Key).Requested = true
+		s.remoteAttempts.Get(a.Key).RequestInFlight = true
 		wanted.Attempts = append(wanted.Attempts, &peerpb.Attempt{Task: a.Task, Attempt: a.Attempt})
 	}
 	return wanted
@@ -209,13 +209,13 @@
 // answer: taken holds those that the peer took.
 func (s *Scheduler) applyPlacedAttemptLocked(node, job string, key fleet.Key, taken map[fleet.Key]*peerpb.Hosted, err error) {
 	if queued := s.jobs[job]; queued != nil {
-		queued.Requested--
+		queued.RequestedTasks--
 	}
 	a := s.remoteAttempts.Get(key)
 	if a == nil {
 		return
 	}
-	a.Requested = false
+	a.RequestInFlight = false
 	if err != nil {
 		return // it stays until it is settled
 	}
--- a/internal/scheduler/settle.go
+++ b/internal/scheduler/settle.go
@@ -35,7 +35,7 @@
 func (s *Scheduler) settleRequestsLocked() map[string][]*peerpb.SettleRequest {
 	requests := remote.NewSettleRequests(s.opts.Node, s.epoch.Token)
 	for a := range s.remoteAttempts.All() {
-		if a.Requested {
+		if a.RequestInFlight {
 			continue
 		}
 		s.updateHostLocked(a)
