--- a/internal/scheduler/adoption.go
+++ b/internal/scheduler/adoption.go
@@ -23,16 +23,16 @@
 	buckets []*checkpoint.Bucket
 }
 
-// placeRecordsLocked takes from the records what may be on machines: on those
+// restoreRecordsLocked takes from the records what may be on machines: on those
 // that are adopted, and on others' as far as own jobs are concerned. It
 // returns how many machines were adopted.
-func (s *Scheduler) placeRecordsLocked(records recovery.Records, adopt []string, gained map[string]bool, now time.Time) int {
+func (s *Scheduler) restoreRecordsLocked(records recovery.Records, adopt []string, gained map[string]bool, now time.Time) int {
 	s.adoptHostedLocked(gained)
 	adopting := &adoption{outcomes: records.Outcomes, gained: gained, machines: map[string]*adoptedMachine{}, now: now}
 	for _, stored := range records.Buckets {
-		taken := s.takeBucketLocked(stored)
+		bucket := s.adoptBucketLocked(stored)
 		for name, record := range stored.Machines {
-			s.placeRecordLocked(adopting, name, record, taken)
+			s.restoreRecordLocked(adopting, name, record, bucket)
 		}
 	}
 	for _, name := range adopt {
@@ -62,10 +62,10 @@
 	}
 }
 
-// placeRecordLocked takes a machine's record from a bucket: one to adopt is collected,
-// of another's what may be on it of own jobs is tracked. taken is the bucket, if the
+// restoreRecordLocked takes a machine's record from a bucket: one to adopt is collected,
+// of another's what may be on it of own jobs is tracked. bucket is the bucket, if the
 // scheduler takes it over.
-func (s *Scheduler) placeRecordLocked(adopting *adoption, name string, record fleet.Record, taken *checkpoint.Bucket) {
+func (s *Scheduler) restoreRecordLocked(adopting *adoption, name string, record fleet.Record, bucket *checkpoint.Bucket) {
 	if s.machines[name] != nil || s.isReleasedLocked(name) {
 		return
 	}
@@ -77,12 +77,12 @@
 	case host != s.opts.Node:
 		s.trackRecordLocked(adopting, fleet.FromRecord(name, record, s.epoch.Token, adopting.now), host)
 	case !s.transfers.Moving(name):
-		adopting.add(name, record, s.epoch.Token, taken)
+		adopting.add(name, record, s.epoch.Token, bucket)
 	}
 }
 
 // add collects a machine with what a record says of it, which may be one of several.
-func (a *adoption) add(name string, record fleet.Record, token uint64, taken *checkpoint.Bucket) {
+func (a *adoption) add(name string, record fleet.Record, token uint64, bucket *checkpoint.Bucket) {
 	adopted := a.machines[name]
 	if adopted == nil {
 		adopted = &adoptedMachine{machine: fleet.FromRecord(name, record, token, a.now)}
@@ -90,20 +90,20 @@
 	} else {
 		adopted.machine.Restore(record, token, a.now)
 	}
-	if taken == nil {
+	if bucket == nil {
 		return
 	}
-	adopted.buckets = append(adopted.buckets, taken)
-	if len(adopted.buckets) > 1 || taken.IsJournal() {
-		taken.Keep(name, record)
+	adopted.buckets = append(adopted.buckets, bucket)
+	if len(adopted.buckets) > 1 || bucket.IsJournal() {
+		bucket.Keep(name, record)
 	}
 }
 
-// takeBucketLocked takes over a bucket whose owner's membership is over: the leader
+// adoptBucketLocked takes over a bucket whose owner's membership is over: the leader
 // does, as it does with the machines. It returns nil for another's bucket, and
 // for one that is this scheduler's already: what that says of a machine that is
 // only now taken is from before the machine was handed over, idle.
-func (s *Scheduler) takeBucketLocked(stored recovery.Bucket) *checkpoint.Bucket {
+func (s *Scheduler) adoptBucketLocked(stored recovery.Bucket) *checkpoint.Bucket {
 	if s.checkpoints.Bucket(stored.Key) != nil {
 		return nil
 	}
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// cloudInterval is how often it is decided whether to rent or return machines.
-	cloudInterval = 500 * time.Millisecond
-	// listInterval is how often the cloud's list is read.
-	listInterval = 5 * time.Second
+	// autoscaleInterval is how often it is decided whether to rent or return machines.
+	autoscaleInterval = 500 * time.Millisecond
+	// cloudListInterval is how often the cloud's list is read.
+	cloudListInterval = 5 * time.Second
 )
 
-// runCloud reads the cloud's list of machines, rents and returns. Only the leader
+// runAutoscaling reads the cloud's list of machines, rents and returns. Only the leader
 // does, so that the cloud's limit on requests holds.
-func (s *Scheduler) runCloud(ctx context.Context) error {
+func (s *Scheduler) runAutoscaling(ctx context.Context) error {
 	renter := s.renter()
 	var listed time.Time
-	return wait.Every(ctx, cloudInterval, func() {
+	return wait.Every(ctx, autoscaleInterval, func() {
 		s.mu.Lock()
 		leads := s.leadsLocked()
 		s.mu.Unlock()
 		if !leads {
 			return
 		}
-		if now := time.Now(); now.Sub(listed) > listInterval {
+		if now := time.Now(); now.Sub(listed) > cloudListInterval {
 			listed = now
 			s.readMachineList(ctx)
 		}
@@ -47,12 +47,12 @@
 		s.log.Info("listing machines failed", "err", err)
 		return
 	}
-	s.takeMachineList(machines, time.Now())
+	s.applyMachineList(machines, time.Now())
 }
 
-// takeMachineList takes the cloud's list. It lags: a machine that is missing may be
+// applyMachineList takes the cloud's list. It lags: a machine that is missing may be
 // up, and one that is listed may be gone.
-func (s *Scheduler) takeMachineList(machines []wire.Machine, now time.Time) {
+func (s *Scheduler) applyMachineList(machines []wire.Machine, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var failed []string
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -37,7 +37,7 @@
 // follows it.
 func (s *Scheduler) sendCommandsLocked(m *machine) {
 	if m.commandPending {
-		m.commandAgain = true
+		m.commandQueued = true
 		return
 	}
 	token, permitted := s.opts.Authority.FencingToken()
@@ -57,12 +57,12 @@
 		m.commandPending = false
 		m.DirectRequestDone(req, err == nil || errors.Is(err, fleet.ErrNoSocket))
 		if !s.noteAnswerLocked(m, err) {
-			m.commandAgain = false
+			m.commandQueued = false
 			return
 		}
-		s.applyLocked(m, heartbeat)
-		if m.commandAgain {
-			m.commandAgain = false
+		s.applyHeartbeatLocked(m, heartbeat)
+		if m.commandQueued {
+			m.commandQueued = false
 			s.sendCommandsLocked(m)
 		}
 	})
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -53,7 +53,7 @@
 		return // an owner's write of the epoch before may be missing; the watch brings it
 	}
 	if s.loaded && epoch.Token != s.epoch.Token && sameAssignment(epoch, &s.epoch.Epoch) {
-		s.takeRaisedTokenLocked(view)
+		s.applyRaisedTokenLocked(view)
 	}
 	if epoch.Leader != s.opts.Node {
 		owners.Orphans = nil // the leader's
@@ -67,8 +67,8 @@
 	s.spawn(func(ctx context.Context) { s.rebuild(ctx, view, gained, adopt) })
 }
 
-// takeRaisedTokenLocked takes an epoch in which only the fencing token has risen.
-func (s *Scheduler) takeRaisedTokenLocked(view cluster.View) {
+// applyRaisedTokenLocked takes an epoch in which only the fencing token has risen.
+func (s *Scheduler) applyRaisedTokenLocked(view cluster.View) {
 	if s.adoptedToken == s.epoch.Token {
 		s.adoptedToken = view.Epoch.Token
 	}
@@ -85,7 +85,7 @@
 		case owner.Machine == nil || !s.loaded || owner.Version <= s.startVersion:
 			adopt = append(adopt, name) // it may have had tasks since that was written
 		default:
-			s.takeHandedOverLocked(name, owner)
+			s.addHandedOverLocked(name, owner)
 		}
 	}
 	for _, name := range owners.Orphans {
@@ -118,15 +118,15 @@
 	return s.loaded && record.Version > s.epoch.assigned.Version
 }
 
-// beginsToLeadLocked reports whether this controller leads the epoch, and did not
+// becomesLeaderLocked reports whether this controller leads the epoch, and did not
 // lead the epoch before.
-func (s *Scheduler) beginsToLeadLocked(epoch *cluster.Epoch) bool {
+func (s *Scheduler) becomesLeaderLocked(epoch *cluster.Epoch) bool {
 	return epoch.Leader == s.opts.Node && s.epoch.Leader != s.opts.Node
 }
 
-// takeEpochLocked makes an epoch the one that the scheduler acts under.
-func (s *Scheduler) takeEpochLocked(view cluster.View) {
-	if s.beginsToLeadLocked(&view.Epoch) {
+// setEpochLocked makes an epoch the one that the scheduler acts under.
+func (s *Scheduler) setEpochLocked(view cluster.View) {
+	if s.becomesLeaderLocked(&view.Epoch) {
 		s.leaderSince = time.Now()
 	}
 	if !s.loaded || !sameAssignment(&view.Epoch, &s.epoch.Epoch) {
@@ -135,10 +135,10 @@
 	s.epoch.Epoch, s.epoch.condition, s.epoch.raisedAt = view.Epoch, view.Condition, time.Now()
 }
 
-// disownLocked lets go of jobs that now belong to other schedulers. Their tasks on
+// dropLostJobsLocked lets go of jobs that now belong to other schedulers. Their tasks on
 // this one's machines are hosted for those from now on; what is not recorded yet
 // never starts.
-func (s *Scheduler) disownLocked(epoch *cluster.Epoch) {
+func (s *Scheduler) dropLostJobsLocked(epoch *cluster.Epoch) {
 	lost := map[string]bool{}
 	for id, queued := range s.jobs {
 		if epoch.OwnerOf(queued.Record.Job.Team, id) == s.opts.Node {
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -16,10 +16,10 @@
 	"heronwick/wire"
 )
 
-// takeHandedOverLocked takes a machine that another controller has handed over:
+// addHandedOverLocked takes a machine that another controller has handed over:
 // nothing is on it, and it can be used at once by what its owner before knew
 // of it.
-func (s *Scheduler) takeHandedOverLocked(name string, owner cluster.Owner) {
+func (s *Scheduler) addHandedOverLocked(name string, owner cluster.Owner) {
 	now := time.Now()
 	var r fleet.Record
 	if err := json.Unmarshal(owner.Machine, &r); err != nil {
@@ -51,9 +51,9 @@
 	return nil
 }
 
-// announceRetryAfter is how long after an announcement that could not be
+// announceRetryDelay is how long after an announcement that could not be
 // written the next one is.
-const announceRetryAfter = 500 * time.Millisecond
+const announceRetryDelay = 500 * time.Millisecond
 
 // announceReleasesLocked writes for the other controllers which machines are
 // released, many in one write.
@@ -68,7 +68,7 @@
 	s.spawn(func(ctx context.Context) {
 		err := s.writeTransfer(ctx, "", records, state.Background)
 		if err != nil {
-			wait.Sleep(ctx, announceRetryAfter)
+			wait.Sleep(ctx, announceRetryDelay)
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -23,7 +23,7 @@
 	}
 	m, adopting := s.machines[heartbeat.Machine], false
 	if m == nil {
-		m, adopting = s.joinLocked(heartbeat, now)
+		m, adopting = s.admitMachineLocked(heartbeat, now)
 	}
 	reply := &wire.HeartbeatReply{FencingToken: token, Commands: []wire.Command{}}
 	switch {
@@ -42,8 +42,8 @@
 // reply with what the worker is commanded. It returns nil if the worker's lease must
 // expire.
 func (s *Scheduler) replyLocked(m *machine, heartbeat *wire.Heartbeat, reply *wire.HeartbeatReply, now time.Time) *wire.HeartbeatReply {
-	fresh := s.applyLocked(m, heartbeat)
-	if s.unknownTasksTooLongLocked(heartbeat, now) {
+	fresh := s.applyHeartbeatLocked(m, heartbeat)
+	if s.unknownTasksPastGraceLocked(heartbeat, now) {
 		return nil
 	}
 	m.LastReply = now
@@ -64,18 +64,18 @@
 // replyUnadoptedLocked completes the reply to a worker whose machine is being adopted:
 // it keeps its lease meanwhile. It returns nil if the lease must expire.
 func (s *Scheduler) replyUnadoptedLocked(heartbeat *wire.Heartbeat, reply *wire.HeartbeatReply, now time.Time) *wire.HeartbeatReply {
-	if s.unknownTasksTooLongLocked(heartbeat, now) {
+	if s.unknownTasksPastGraceLocked(heartbeat, now) {
 		return nil
 	}
 	s.preAdoptionReplies[heartbeat.Machine] = now
-	reply.Commands = s.stopEndedJobsLocked(heartbeat)
+	reply.Commands = s.stopCommandsForEndedJobsLocked(heartbeat)
 	return reply
 }
 
-// joinLocked decides about a worker whose machine this scheduler does not have:
+// admitMachineLocked decides about a worker whose machine this scheduler does not have:
 // one just handed over to it, or one that nobody owns. adopting tells that its machine
 // is this scheduler's and will be taken once the records are read.
-func (s *Scheduler) joinLocked(heartbeat *wire.Heartbeat, now time.Time) (m *machine, adopting bool) {
+func (s *Scheduler) admitMachineLocked(heartbeat *wire.Heartbeat, now time.Time) (m *machine, adopting bool) {
 	name := heartbeat.Machine
 	if s.isReleasedLocked(name) {
 		return nil, false // sent before its machine was returned
@@ -100,11 +100,11 @@
 // which nothing is known.
 func (s *Scheduler) unknownTasksGrace() time.Duration { return s.opts.Settings.LeaseDuration / 4 }
 
-// unknownTasksTooLongLocked notes whether a worker has tasks of unknown jobs, and tells
+// unknownTasksPastGraceLocked notes whether a worker has tasks of unknown jobs, and tells
 // whether it has had some for so long that its lease must expire. Such a job may be
 // over: cancelled before this controller read the jobs, while the key-value store,
 // which would tell, is out for longer than the tasks may stay.
-func (s *Scheduler) unknownTasksTooLongLocked(heartbeat *wire.Heartbeat, now time.Time) bool {
+func (s *Scheduler) unknownTasksPastGraceLocked(heartbeat *wire.Heartbeat, now time.Time) bool {
 	unknown := s.hasUnknownTasksLocked(heartbeat)
 	since, noted := s.unknownTasksSince[heartbeat.Machine]
 	switch {
@@ -136,9 +136,9 @@
 	})
 }
 
-// stopEndedJobsLocked stops, of the tasks that a heartbeat shows, those whose jobs
+// stopCommandsForEndedJobsLocked stops, of the tasks that a heartbeat shows, those whose jobs
 // are over: their machine's records may not be readable for long.
-func (s *Scheduler) stopEndedJobsLocked(heartbeat *wire.Heartbeat) []wire.Command {
+func (s *Scheduler) stopCommandsForEndedJobsLocked(heartbeat *wire.Heartbeat) []wire.Command {
 	stops := []wire.Command{}
 	for _, t := range heartbeat.Tasks {
 		id, _, ok := wire.SplitTaskID(t.Task)
@@ -150,9 +150,9 @@
 	return stops
 }
 
-// applyLocked takes a heartbeat, also one that answers a probe or a direct command.
+// applyHeartbeatLocked takes a heartbeat, also one that answers a probe or a direct command.
 // It reports whether that was news.
-func (s *Scheduler) applyLocked(m *machine, heartbeat *wire.Heartbeat) bool {
+func (s *Scheduler) applyHeartbeatLocked(m *machine, heartbeat *wire.Heartbeat) bool {
 	if s.machines[m.Name] != m || heartbeat.Machine != m.Name {
 		return false
 	}
--- a/internal/scheduler/loadshedding.go
+++ b/internal/scheduler/loadshedding.go
@@ -12,9 +12,9 @@
 	// shedInterval is how often a scheduler that is short of processor time hands
 	// idle machines over.
 	shedInterval = 5 * time.Second
-	// overloadedFor is how long a shortage counts: idle machines that went back
+	// overloadHoldTime is how long a shortage counts: idle machines that went back
 	// and forth with each short one would be nobody's for most of the time.
-	overloadedFor = time.Minute
+	overloadHoldTime = time.Minute
 )
 
 // overloadedLocked reports whether this controller was short of processor time
@@ -23,7 +23,7 @@
 	if s.detector.Busy(time.Now()) {
 		s.overloadedAt = now
 	}
-	return now.Sub(s.overloadedAt) < overloadedFor
+	return now.Sub(s.overloadedAt) < overloadHoldTime
 }
 
 // shedIdleMachinesLocked hands idle machines over to the controller with the
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -18,7 +18,7 @@
 	packing *packing.Machine   // what is known of its room
 
 	commandPending bool // a direct command is under way
-	commandAgain   bool // another is to follow it
+	commandQueued  bool // another is to follow it
 
 	idleSince      time.Time       // when its last task ended
 	placeNotBefore time.Time       // no placements before then: its worker has refused a start
--- a/internal/scheduler/machinewatch.go
+++ b/internal/scheduler/machinewatch.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// resignAfter is how long after an election workers still come to controllers that
+	// electionSettleTime is how long after an election workers still come to controllers that
 	// do not lead, also those that the leader reaches.
-	resignAfter = 10 * time.Second
-	// leftoversAfter and leftoversIdleAfter are how long after the token last rose, and
+	electionSettleTime = 10 * time.Second
+	// exitedAttemptsTokenAge and exitedAttemptsIdleTime are how long after the token last rose, and
 	// after a machine became idle, exited attempts on it may call for a higher token.
-	leftoversAfter     = 20 * time.Second
-	leftoversIdleAfter = 2 * time.Second
+	exitedAttemptsTokenAge = 20 * time.Second
+	exitedAttemptsIdleTime = 2 * time.Second
 	// overdueMargin is how long before a cancelled task must be gone its machine is
 	// returned, if no lease expiry proves it gone in time.
 	overdueMargin = 3 * time.Second
@@ -46,7 +46,7 @@
 		if !m.Notice.IsZero() || assessment.HeartbeatsMissing(&m.Worker) {
 			s.drainLocked(m)
 		}
-		raise = raise || m.NeedsHigherFencingToken(token) || s.keptByLeftoversLocked(m, now)
+		raise = raise || m.NeedsHigherFencingToken(token) || s.heldByExitedAttemptsLocked(m, now)
 	}
 	for reason, machines := range returned {
 		s.returnLocked(machines, reason)
@@ -62,11 +62,11 @@
 // for good, each leader otherwise resigned in turn, and none led for long enough
 // to find out.
 func (s *Scheduler) resignIfPartitionedLocked(assessment *detector.Assessment, now time.Time) {
-	if !s.detector.Partitioned() || !s.leadsLocked() || now.Sub(s.resignedAt) <= resignAfter {
+	if !s.detector.Partitioned() || !s.leadsLocked() || now.Sub(s.resignedAt) <= electionSettleTime {
 		return
 	}
 	elsewhere := s.opts.WorkersAtPeers()
-	settled := now.Sub(s.leaderSince) > resignAfter && elsewhere > len(s.machines)/3
+	settled := now.Sub(s.leaderSince) > electionSettleTime && elsewhere > len(s.machines)/3
 	if settled || elsewhere > assessment.Reachable {
 		s.resignedAt = now
 		s.spawn(s.opts.Resign)
@@ -105,7 +105,7 @@
 		return autoscale.ReasonRecordedBefore
 	case assessment.Dead(&m.Worker):
 		return autoscale.ReasonLost
-	case s.overdueLocked(m, now):
+	case s.cancelledTaskOverdueLocked(m, now):
 		return autoscale.ReasonOverdueTask
 	case assessment.Unreachable(&m.Worker):
 		return autoscale.ReasonUnreachable
@@ -117,9 +117,9 @@
 	return autoscale.NotReturned
 }
 
-// overdueLocked reports whether a cancelled job's task may still be there when
+// cancelledTaskOverdueLocked reports whether a cancelled job's task may still be there when
 // it must be gone soon, and its lease does not surely expire before.
-func (s *Scheduler) overdueLocked(m *machine, now time.Time) bool {
+func (s *Scheduler) cancelledTaskOverdueLocked(m *machine, now time.Time) bool {
 	for _, a := range m.Attempts.All() {
 		if a.MustGoBy.IsZero() || a.Exited() || now.Before(a.MustGoBy.Add(-overdueMargin)) {
 			continue
@@ -134,9 +134,9 @@
 	return false
 }
 
-// keptByLeftoversLocked reports whether exited attempts alone keep an idle machine
+// heldByExitedAttemptsLocked reports whether exited attempts alone keep an idle machine
 // from being handed over or returned.
-func (s *Scheduler) keptByLeftoversLocked(m *machine, now time.Time) bool {
+func (s *Scheduler) heldByExitedAttemptsLocked(m *machine, now time.Time) bool {
 	return m.ActiveCount() == 0 && m.Attempts.Len() > 0 &&
-		now.Sub(s.epoch.raisedAt) > leftoversAfter && now.Sub(m.idleSince) > leftoversIdleAfter
+		now.Sub(s.epoch.raisedAt) > exitedAttemptsTokenAge && now.Sub(m.idleSince) > exitedAttemptsIdleTime
 }
--- a/internal/scheduler/probes.go
+++ b/internal/scheduler/probes.go
@@ -11,19 +11,19 @@
 	"heronwick/wire"
 )
 
-// probesPerCore is how many probes a second are sent for each core that this
+// probesPerSecondPerCore is how many probes a second are sent for each core that this
 // controller has. Without the bound a controller that answers late, and so takes
 // its workers for silent, uses all of its time to probe them.
-const probesPerCore = 1000
+const probesPerSecondPerCore = 1000
 
 // probeRate bounds the probes of a controller with so many cores.
 func probeRate(coreShare float64) *rate.Limiter {
-	perSecond := probesPerCore * coreShare
-	return limiter(perSecond, max(2*detector.SampleSize, int(perSecond)))
+	perSecond := probesPerSecondPerCore * coreShare
+	return newLimiter(perSecond, max(2*detector.SampleSize, int(perSecond)))
 }
 
-// limiter allows so many events a second; 0: any number.
-func limiter(perSecond float64, burst int) *rate.Limiter {
+// newLimiter allows so many events a second; 0: any number.
+func newLimiter(perSecond float64, burst int) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, burst)
 	}
@@ -56,7 +56,7 @@
 		case heartbeat.Machine == m.Name && (heartbeat.Incarnation < incarnation || heartbeat.Incarnation == incarnation && heartbeat.Seq < seq):
 			s.returnRestartedLocked(m)
 		default:
-			s.applyLocked(m, heartbeat)
+			s.applyHeartbeatLocked(m, heartbeat)
 		}
 	})
 }
--- a/internal/scheduler/rebalancing.go
+++ b/internal/scheduler/rebalancing.go
@@ -9,11 +9,11 @@
 const (
 	// rebalanceInterval is how often idle machines are rebalanced among the controllers.
 	rebalanceInterval = 30 * time.Second
-	// unknownTasksMemory is how long a machine with tasks of unknown jobs is
+	// unknownTasksRetention is how long a machine with tasks of unknown jobs is
 	// remembered: it is gone, or it would have been decided.
-	unknownTasksMemory = 10 * time.Minute
-	// keepIdlePart is for how many machines in use one idle machine stays at hand.
-	keepIdlePart = 4
+	unknownTasksRetention = 10 * time.Minute
+	// busyPerIdleMachine is for how many machines in use one idle machine stays at hand.
+	busyPerIdleMachine = 4
 )
 
 // rebalanceIdleLocked hands idle machines that are more than a controller
@@ -26,7 +26,7 @@
 	}
 	s.rebalancedAt = now
 	s.forgetOldMachinesLocked(now)
-	if s.gathersForGangLocked() {
+	if s.hasUnplacedGangLocked() {
 		return
 	}
 	idle := s.handoverCandidatesLocked(now)
@@ -34,11 +34,11 @@
 		return
 	}
 	// A controller will need about as much as it has in use.
-	keep := max(1, (len(s.machines)-len(idle))/keepIdlePart)
+	keep := max(1, (len(s.machines)-len(idle))/busyPerIdleMachine)
 	switch {
 	case len(idle) <= keep:
 	case s.epoch.Leader == s.opts.Node:
-		s.spreadIdleLocked(idle, keep)
+		s.distributeIdleLocked(idle, keep)
 	case !s.opts.Authority.PeerLoads()[s.epoch.Leader].Overloaded:
 		s.handOverLocked(idle[keep:], s.epoch.Leader)
 	}
@@ -48,14 +48,14 @@
 func (s *Scheduler) forgetOldMachinesLocked(now time.Time) {
 	s.inventory.ForgetReleased(now)
 	for name, at := range s.unknownTasksSince {
-		if now.Sub(at) > unknownTasksMemory {
+		if now.Sub(at) > unknownTasksRetention {
 			delete(s.unknownTasksSince, name)
 		}
 	}
 }
 
-// gathersForGangLocked reports whether a gang of this scheduler waits for machines.
-func (s *Scheduler) gathersForGangLocked() bool {
+// hasUnplacedGangLocked reports whether a gang of this scheduler waits for machines.
+func (s *Scheduler) hasUnplacedGangLocked() bool {
 	for _, queued := range s.jobs {
 		if queued.Record.Job.Kind == wire.KindGang && !queued.UnplacedSince.IsZero() {
 			return true
@@ -64,9 +64,9 @@
 	return false
 }
 
-// spreadIdleLocked hands over idle machines, but for those to keep, in equal
+// distributeIdleLocked hands over idle machines, but for those to keep, in equal
 // parts to the controllers that have jobs and no idle machine; one part stays.
-func (s *Scheduler) spreadIdleLocked(idle []*machine, keep int) {
+func (s *Scheduler) distributeIdleLocked(idle []*machine, keep int) {
 	var starving []string
 	for node := range s.epoch.Members {
 		if node != s.opts.Node && s.opts.Authority.IdleMachines(node) == 0 && s.hasJobs(node) {
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -31,11 +31,11 @@
 	if now := s.opts.Authority.View().Epoch; ctx.Err() != nil || now.Token != epoch.Token {
 		return // the next epoch starts over: what was read may be outdated
 	}
-	s.disownLocked(epoch) // what came meanwhile by the old epoch
-	s.takeEpochLocked(view)
+	s.dropLostJobsLocked(epoch) // what came meanwhile by the old epoch
+	s.setEpochLocked(view)
 	s.restoreLocked(records, gained, adopt)
 	s.adoptedToken, s.loaded = epoch.Token, true
-	s.takeDoneBucketsLocked(records.Done)
+	s.adoptDoneBucketsLocked(records.Done)
 	for _, queued := range s.jobs {
 		s.finishLocked(queued)
 	}
@@ -47,8 +47,8 @@
 func (s *Scheduler) beginRebuild(epoch *cluster.Epoch) (needsRecords bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	needsRecords = !s.loaded || s.beginsToLeadLocked(epoch) || s.gainsLimitLocked(epoch)
-	s.disownLocked(epoch)
+	needsRecords = !s.loaded || s.becomesLeaderLocked(epoch) || s.gainsLimitLocked(epoch)
+	s.dropLostJobsLocked(epoch)
 	return needsRecords
 }
 
@@ -62,7 +62,7 @@
 	now := time.Now()
 	isGained := s.addGainedJobsLocked(gained, records.Done)
 	s.countEndedJobsLocked()
-	adopted := s.placeRecordsLocked(records, adopt, isGained, now)
+	adopted := s.restoreRecordsLocked(records, adopt, isGained, now)
 	if first || len(gained)+adopted > 0 {
 		s.log.Info("scheduler rebuilt", "token", s.epoch.Token, "jobs", len(s.jobs), "gained", len(isGained), "machines", len(s.machines),
 			"adopted", adopted, "remote", s.remoteAttempts.Len())
@@ -89,9 +89,9 @@
 	return added
 }
 
-// takeDoneBucketsLocked takes over, as the leader, the buckets of done tasks whose
+// adoptDoneBucketsLocked takes over, as the leader, the buckets of done tasks whose
 // owners' memberships are over.
-func (s *Scheduler) takeDoneBucketsLocked(done []job.DoneBucket) {
+func (s *Scheduler) adoptDoneBucketsLocked(done []job.DoneBucket) {
 	if s.epoch.Leader != s.opts.Node {
 		return
 	}
--- a/internal/scheduler/renting.go
+++ b/internal/scheduler/renting.go
@@ -124,24 +124,24 @@
 		Rented: func(req wire.RentRequest, machines []string, err error) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.takeRentalLocked(req, machines, err)
+			s.applyRentalLocked(req, machines, err)
 		},
 		Log: s.log,
 	}
 }
 
-// takeRentalLocked takes the machines that a rent request has brought, or its error.
-func (s *Scheduler) takeRentalLocked(req wire.RentRequest, names []string, err error) {
-	place := placement.Pool{Type: req.Type, Zone: req.Zone, Spot: req.Spot}
+// applyRentalLocked takes the machines that a rent request has brought, or its error.
+func (s *Scheduler) applyRentalLocked(req wire.RentRequest, names []string, err error) {
+	pool := placement.Pool{Type: req.Type, Zone: req.Zone, Spot: req.Spot}
 	now := time.Now()
 	filled := err == nil && len(names) >= req.Count
-	s.inventory.NoteAnswer(place, filled, now)
+	s.inventory.NoteAnswer(pool, filled, now)
 	if !filled {
 		s.log.Info("rental not filled", "type", req.Type, "zone", req.Zone, "spot", req.Spot, "asked", req.Count, "got", len(names), "err", err)
 	}
 	for _, name := range names {
 		if s.machines[name] == nil && !s.isReleasedLocked(name) && !s.opts.Actions.HasReturnIntent(name) {
-			s.inventory.Expect(name, place, now, now)
+			s.inventory.Expect(name, pool, now, now)
 		}
 	}
 	if len(names) > 0 {
--- a/internal/scheduler/returns.go
+++ b/internal/scheduler/returns.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// returnAgainAfter is how long a machine is kept whose return was refused.
-	returnAgainAfter = time.Second
+	// returnRetryDelay is how long a machine is kept whose return was refused.
+	returnRetryDelay = time.Second
 	// closeReturnsInterval is how often return intents are removed whose machines are gone.
 	closeReturnsInterval = 3 * time.Second
 )
@@ -73,7 +73,7 @@
 		Released: func(machines []string) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.takeReleasedLocked(machines, time.Now())
+			s.applyReleaseLocked(machines, time.Now())
 		},
 		Kept: func(machines []string) {
 			s.mu.Lock()
@@ -84,8 +84,8 @@
 	}
 }
 
-// takeReleasedLocked removes machines that the cloud has taken back.
-func (s *Scheduler) takeReleasedLocked(names []string, now time.Time) {
+// applyReleaseLocked removes machines that the cloud has taken back.
+func (s *Scheduler) applyReleaseLocked(names []string, now time.Time) {
 	for _, name := range names {
 		s.inventory.MarkReleased(name, now)
 		if m := s.machines[name]; m != nil {
@@ -100,7 +100,7 @@
 func (s *Scheduler) abortReturnLocked(names []string) {
 	for _, name := range names {
 		if m := s.machines[name]; m != nil {
-			m.returning, m.returnNotBefore = false, time.Now().Add(returnAgainAfter)
+			m.returning, m.returnNotBefore = false, time.Now().Add(returnRetryDelay)
 		}
 	}
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -133,7 +133,7 @@
 	s.opts.Jobs.Listen(s)
 	defer s.opts.Jobs.Listen(nil)
 	group.Go(func() error { return s.loop(ctx) })
-	group.Go(func() error { return s.runCloud(ctx) })
+	group.Go(func() error { return s.runAutoscaling(ctx) })
 	group.Go(func() error { return s.runSettling(ctx) })
 	return group.Wait()
 }
--- a/internal/scheduler/tokensync.go
+++ b/internal/scheduler/tokensync.go
@@ -16,10 +16,10 @@
 	// processor, and most send a heartbeat by themselves before their turn comes. Those
 	// of a zone that is partitioned off must not keep all others waiting.
 	maxTokenRequests = 512
-	// tokenRequestsPerCore is how many workers a second may be sent a new token for
+	// tokenRequestsPerSecondPerCore is how many workers a second may be sent a new token for
 	// each core that this controller has: about half of its time, the rest is for the
 	// heartbeats that come by themselves.
-	tokenRequestsPerCore = 4000
+	tokenRequestsPerSecondPerCore = 4000
 	// tokenRequestPause is how long sending the token waits where it went too fast.
 	tokenRequestPause = 50 * time.Millisecond
 )
@@ -35,14 +35,14 @@
 
 // tokenRequestRate bounds the token requests of a controller with so many cores.
 func tokenRequestRate(coreShare float64) *rate.Limiter {
-	perSecond := tokenRequestsPerCore * coreShare
-	return limiter(perSecond, max(1, min(maxTokenRequests, int(perSecond/4))))
+	perSecond := tokenRequestsPerSecondPerCore * coreShare
+	return newLimiter(perSecond, max(1, min(maxTokenRequests, int(perSecond/4))))
 }
 
 // queueTokenSyncLocked sends a worker the new token soon and takes its heartbeat: until then
 // nothing may be placed on its machine.
 func (s *Scheduler) queueTokenSyncLocked(m *machine) {
-	if m.mustStop() {
+	if m.mayRunCancelledTask() {
 		s.tokenSync.unsynced = slices.Insert(s.tokenSync.unsynced, 0, m)
 	} else {
 		s.tokenSync.unsynced = append(s.tokenSync.unsynced, m)
@@ -50,9 +50,9 @@
 	s.syncNextWorkersLocked()
 }
 
-// mustStop reports whether a cancelled job's task may be on the machine: sending
+// mayRunCancelledTask reports whether a cancelled job's task may be on the machine: sending
 // its worker the token, and with it the stop, does not wait for its turn.
-func (m *machine) mustStop() bool {
+func (m *machine) mayRunCancelledTask() bool {
 	for _, a := range m.Attempts.All() {
 		if !a.MustGoBy.IsZero() && !a.Exited() {
 			return true
@@ -70,7 +70,7 @@
 			t.unsynced = t.unsynced[1:]
 			continue
 		}
-		if !m.mustStop() && !t.rate.Allow() {
+		if !m.mayRunCancelledTask() && !t.rate.Allow() {
 			if !t.paused {
 				t.paused = true
 				time.AfterFunc(tokenRequestPause, s.resumeTokenSync)
@@ -105,7 +105,7 @@
 		m.EndRequest()
 		s.tokenSync.requests--
 		if s.noteAnswerLocked(m, err) {
-			s.applyLocked(m, heartbeat)
+			s.applyHeartbeatLocked(m, heartbeat)
 		}
 		if ctx.Err() == nil {
 			s.syncNextWorkersLocked()
