--- a/internal/checkpoint/scheduler.go
+++ b/internal/checkpoint/scheduler.go
@@ -29,8 +29,8 @@
 	Fence() state.FencingCondition
 	// MemberSince is since which epoch the scheduler's node is a member.
 	MemberSince() uint64
-	// WriteMark returns a string that no other write contains.
-	WriteMark() string
+	// UniqueWriteID returns a string that no other write contains.
+	UniqueWriteID() string
 	// CleanupGuard returns the right to remove the scheduler's records, an error if
 	// another controller has it or nobody.
 	CleanupGuard() (duty.Guard, error)
--- a/internal/checkpoint/writebucket.go
+++ b/internal/checkpoint/writebucket.go
@@ -128,7 +128,7 @@
 
 // bucketContent is what a bucket is to hold.
 func (w *Writer) bucketContent(b *Bucket, write *bucketWrite) fleet.RecordBucket {
-	content := fleet.RecordBucket{Machines: make(map[string]fleet.Record, len(b.machines)), Write: w.scheduler.WriteMark()}
+	content := fleet.RecordBucket{Machines: make(map[string]fleet.Record, len(b.machines)), Write: w.scheduler.UniqueWriteID()}
 	maps.Copy(content.Machines, b.leftover)
 	for name, m := range b.machines {
 		content.Machines[name] = w.record(m, func(a *fleet.Attempt) bool {
--- a/internal/checkpoint/writejournal.go
+++ b/internal/checkpoint/writejournal.go
@@ -126,7 +126,7 @@
 func (w *Writer) journalContent(journal *Bucket) journalContent {
 	c := journalContent{
 		journal:      journal,
-		RecordBucket: fleet.RecordBucket{Machines: map[string]fleet.Record{}, Write: w.scheduler.WriteMark()},
+		RecordBucket: fleet.RecordBucket{Machines: map[string]fleet.Record{}, Write: w.scheduler.UniqueWriteID()},
 	}
 	for m, r := range w.extracts(journal) {
 		c.Machines[m.Name] = r
--- a/internal/completion/flush.go
+++ b/internal/completion/flush.go
@@ -115,7 +115,7 @@
 
 // encode returns the value of a bucket.
 func (t *Table) encode(b *bucket) json.RawMessage {
-	value, err := json.Marshal(job.DoneBucket{Jobs: b.jobs, Write: t.scheduler.WriteMark()})
+	value, err := json.Marshal(job.DoneBucket{Jobs: b.jobs, Write: t.scheduler.UniqueWriteID()})
 	if err != nil {
 		t.log.Error("encoding done tasks", "key", b.key, "err", err)
 	}
--- a/internal/completion/scheduler.go
+++ b/internal/completion/scheduler.go
@@ -19,8 +19,8 @@
 	BucketKey(n uint64) string
 	// ValueLimit is how many bytes of records a value may hold.
 	ValueLimit() int
-	// WriteMark returns a string that no other write contains.
-	WriteMark() string
+	// UniqueWriteID returns a string that no other write contains.
+	UniqueWriteID() string
 	// Fence is the condition under which records are written: the epoch that the
 	// scheduler acts under.
 	Fence() state.FencingCondition
--- a/internal/scheduler/recordwriter.go
+++ b/internal/scheduler/recordwriter.go
@@ -14,8 +14,8 @@
 // Fence implements checkpoint.Scheduler and completion.Scheduler.
 func (s recordWriter) Fence() state.FencingCondition { return s.fenceLocked() }
 
-// WriteMark implements checkpoint.Scheduler and completion.Scheduler.
-func (s recordWriter) WriteMark() string { return s.writeMarkLocked() }
+// UniqueWriteID implements checkpoint.Scheduler and completion.Scheduler.
+func (s recordWriter) UniqueWriteID() string { return s.writeMarkLocked() }
 
 // CleanupGuard implements checkpoint.Scheduler and completion.Scheduler.
 func (s recordWriter) CleanupGuard() (duty.Guard, error) { return s.recordCleanupGuard() }
