--- a/internal/completion/table.go
+++ b/internal/completion/table.go
@@ -61,9 +61,9 @@
 	return b
 }
 
-// Forget drops the bitmaps of a job that is over. The keys are rewritten when
+// RemoveJob drops the bitmaps of a job that is over. The keys are rewritten when
 // there is something else to write, or removed once empty.
-func (t *Table) Forget(id string) {
+func (t *Table) RemoveJob(id string) {
 	for _, b := range t.buckets {
 		if _, ok := b.jobs[id]; !ok {
 			continue
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -113,7 +113,7 @@
 			a.Handled = true
 		}
 	}
-	s.completions.Forget(id)
+	s.completions.RemoveJob(id)
 	delete(s.jobs, id)
 	delete(s.hostedJobs, id)
 	s.stopTasksLocked(id, outcome, goneBy)
