--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -10,8 +10,8 @@
 	"heronwick/wire"
 )
 
-// adoptAttemptLocked takes in an attempt on a machine of the scheduler that was
-// recorded before or that a heartbeat shows unexpectedly.
+// adoptAttemptLocked takes over an attempt on one of this scheduler's machines that was
+// read from a record or that a heartbeat shows unexpectedly.
 func (s *Scheduler) adoptAttemptLocked(m *machine, a *fleet.Attempt) {
 	queued := s.jobs[a.Job]
 	if queued == nil {
@@ -27,27 +27,27 @@
 	}
 	a.Hosted = false
 	if earlier := s.remoteAttempts.Get(a.Key); earlier != nil {
-		s.untrackRemoteLocked(earlier) // its machine was another scheduler's
+		s.untrackRemoteLocked(earlier) // the machine belonged to another scheduler before
 	}
 	a.Describe(&queued.Record.Job, queued.EffectivePriority)
 	if a.Exited() {
 		return
 	}
 	if a.Index >= queued.Record.Job.Tasks || queued.Done.Has(a.Index) || queued.HasAttempt(a.Index) {
-		// Its result is known, or another attempt may be elsewhere: never two.
+		// The task is done, or another attempt of it may be running: stop this one.
 		a.Stop = true
 	}
 	s.countAttemptLocked(m.Zone, a)
 	s.updateOpenLocked(m)
 }
 
-// outcomeTaskSize is what each task of a job took that is over.
+// outcomeTaskSize returns the resources that each task of an ended job used.
 func outcomeTaskSize(outcome job.Outcome) placement.Resources {
 	return placement.Resources{CPUs: outcome.CPUs, GPUs: outcome.GPUs, MemoryGB: outcome.MemoryGB}
 }
 
-// countAttemptLocked counts an attempt that may be on a machine in the zone, for
-// its team and its job.
+// countAttemptLocked adds an attempt that may be on a machine in the zone to the usage
+// of its team and to its job.
 func (s *Scheduler) countAttemptLocked(zone string, a *fleet.Attempt) {
 	if a.Counted {
 		return
@@ -59,8 +59,9 @@
 	}
 }
 
-// uncountAttemptLocked takes an attempt out of all sums: it is surely gone. Its task
-// is queued again, unless it is done or may be elsewhere.
+// uncountAttemptLocked reverses countAttemptLocked for an attempt that is proven gone,
+// and wakes the scheduler. The task is queued again unless it is done or another attempt
+// of it may be on a machine.
 func (s *Scheduler) uncountAttemptLocked(a *fleet.Attempt) {
 	s.uncountWithoutWakeLocked(a)
 	s.wakeLoop()
@@ -79,16 +80,16 @@
 }
 
 const (
-	// refusedMachineDelay is how long nothing is placed on a machine whose worker
-	// has refused a start.
+	// refusedMachineDelay is how long nothing is placed on a machine after its worker
+	// has refused to start a task.
 	refusedMachineDelay = time.Second
-	// refusedStartDelay is how long no task of a job is placed after a start was
-	// refused.
+	// refusedStartDelay is how long no task of a job is placed after a worker has
+	// refused to start one.
 	refusedStartDelay = 500 * time.Millisecond
 )
 
-// handleAttemptExitLocked takes the end of an attempt on a machine of the scheduler,
-// hosted or not: what it says of the machine, then of the job.
+// handleAttemptExitLocked handles the exit of an own or hosted attempt on one of this
+// scheduler's machines: first its consequences for the machine, then those for the job.
 func (s *Scheduler) handleAttemptExitLocked(m *machine, a *fleet.Attempt) {
 	now := time.Now()
 	s.log.Debug("exited", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "why", a.Why, "since_placed", now.Sub(a.Placed))
@@ -107,12 +108,13 @@
 	s.applyAttemptExitLocked(a, now)
 }
 
-// applyAttemptExitLocked draws the consequences of an attempt's end for its job,
-// whether it was on a machine of the scheduler or a remote one.
+// applyAttemptExitLocked updates the job of an exited attempt, whether that was on one
+// of this scheduler's machines or on a remote one.
 func (s *Scheduler) applyAttemptExitLocked(a *fleet.Attempt, now time.Time) {
 	queued := s.jobs[a.Job]
 	if queued == nil {
-		// Its owner, which settles it, decides what follows; without one, nothing.
+		// The owner of a hosted job settles the attempt and decides what follows. If the
+		// job has ended, nothing follows.
 		a.Handled = !a.Hosted
 		s.uncountAttemptLocked(a)
 		return
@@ -131,7 +133,7 @@
 	s.uncountAttemptLocked(a)
 }
 
-// markTaskDoneLocked notes that the task of an attempt is done.
+// markTaskDoneLocked records that the task of an attempt is done.
 func (s *Scheduler) markTaskDoneLocked(queued *queue.Job, a *fleet.Attempt) {
 	queued.Succeeded = true
 	queued.Done.Complete(a)
@@ -140,7 +142,7 @@
 	s.finishLocked(queued)
 }
 
-// stopDuplicatesLocked stops other attempts of a task that is done.
+// stopDuplicatesLocked stops the other attempts of a task that is done.
 func (s *Scheduler) stopDuplicatesLocked(done *fleet.Attempt) {
 	queued := s.jobs[done.Job]
 	if queued == nil || !queued.HasAttempt(done.Index) {
@@ -156,13 +158,13 @@
 	}
 }
 
-// quarantineThreshold is how many jobs that do not fail elsewhere must have failed on
-// a machine for it to be quarantined.
+// quarantineThreshold is how many jobs must have failed on a machine, without failing on
+// other machines too, for it to be quarantined.
 const quarantineThreshold = 2
 
-// handleTaskFailureLocked judges a failure: is it the machine or the job? A machine on
-// which several jobs fail that do not fail elsewhere is quarantined; a job that
-// fails on several machines and succeeds on none is tried again ever later.
+// handleTaskFailureLocked decides whether a failure is due to the machine or to the job.
+// A machine is quarantined if several jobs fail on it that do not fail elsewhere. A job
+// that fails on several machines and succeeds on none is retried with increasing delays.
 func (s *Scheduler) handleTaskFailureLocked(m *machine, queued *queue.Job, a *fleet.Attempt, now time.Time) {
 	s.log.Info("task failed", "task", a.Task, "attempt", a.Attempt, "machine", m.Name)
 	if queued == nil {
@@ -170,20 +172,20 @@
 	}
 	queued.AddFailure(m.Name, now)
 	m.failedJobs[a.Job] = true
-	evidence := 0
+	failedOnlyHere := 0
 	for id := range m.failedJobs {
 		if other := s.jobOf(id); other != nil && !other.FailsEverywhere() {
-			evidence++
+			failedOnlyHere++
 		}
 	}
-	if evidence >= quarantineThreshold && !m.quarantined {
+	if failedOnlyHere >= quarantineThreshold && !m.quarantined {
 		m.quarantined = true
 		s.log.Info("machine set aside: jobs fail on it that do not fail elsewhere", "machine", m.Name)
 	}
 }
 
-// ensureAttemptNumbersLocked makes sure that there are numbers for attempts under the
-// token, and returns false while there are not.
+// ensureAttemptNumbersLocked reports whether enough attempt numbers are left under the
+// fencing token to place tasks. It raises the token when few are left.
 func (s *Scheduler) ensureAttemptNumbersLocked(now time.Time) bool {
 	left := s.attemptNumbers.Left(s.epoch.Token)
 	if left < fleet.FewAttemptNumbers {
@@ -192,7 +194,7 @@
 	return left >= fleet.MinAttemptNumbers
 }
 
-// newAttempt returns an attempt of a job's task, with a number that is not used yet.
+// newAttempt returns an attempt of a job's task with an unused attempt number.
 func (s *Scheduler) newAttempt(queued *queue.Job, index int) *fleet.Attempt {
 	j := &queued.Record.Job
 	a := &fleet.Attempt{Key: fleet.Key{Task: wire.TaskID(j.ID, index), Attempt: s.attemptNumbers.Next(s.epoch.Token)}, Job: j.ID, Index: index}
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -9,20 +9,21 @@
 	"heronwick/wire"
 )
 
-// commandTimeout bounds a direct command; the answer to the next heartbeat brings
-// it again.
+// commandTimeout bounds a direct command. A command that times out is sent again in the
+// reply to the next heartbeat.
 const commandTimeout = 2 * time.Second
 
-// command sends commands straight to a worker, which must answer within
-// commandTimeout.
+// command sends commands directly to a worker and waits up to commandTimeout for the
+// answer.
 func (s *Scheduler) command(ctx context.Context, address string, req *wire.CommandRequest) (*wire.Heartbeat, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	return s.opts.Workers.Command(ctx, address, req)
 }
 
-// needsDirectCommandLocked reports whether waiting for the next heartbeat would cost
-// time: stops make room for what waits.
+// needsDirectCommandLocked reports whether a command should be sent directly instead of
+// in the reply to the next heartbeat. That is so for stops, since they free room for
+// pending tasks.
 func (s *Scheduler) needsDirectCommandLocked(m *machine) bool {
 	for _, a := range m.Attempts.All() {
 		if a.Stop && a.State != "" && !a.Exited() && a.State != wire.TaskSaving {
@@ -32,9 +33,9 @@
 	return false
 }
 
-// sendCommandsLocked sends a worker the commands that are due, without waiting for
-// its next heartbeat. One request is under way at a time; what comes meanwhile
-// follows it.
+// sendCommandsLocked sends a worker its pending commands without waiting for its next
+// heartbeat. Only one request is in flight at a time; commands that become due meanwhile
+// are sent after it.
 func (s *Scheduler) sendCommandsLocked(m *machine) {
 	if m.commandPending {
 		m.commandQueued = true
--- a/internal/scheduler/completions.go
+++ b/internal/scheduler/completions.go
@@ -13,7 +13,7 @@
 	"heronwick/internal/wait"
 )
 
-// completionScheduler is what the table of done tasks sees of the scheduler.
+// completionScheduler implements completion.Scheduler.
 type completionScheduler struct{ recordWriter }
 
 // Lock implements completion.Scheduler.
@@ -46,8 +46,8 @@
 // NoteRejected implements completion.Scheduler.
 func (s completionScheduler) NoteRejected(err error) { s.valueLimit.NoteRejected(err) }
 
-// completionOf returns which tasks of one of the scheduler's own jobs are done,
-// nil if the job is none.
+// completionOf returns which tasks of a job are done, or nil if it is not one of this
+// scheduler's own jobs.
 func (s *Scheduler) completionOf(id string) *completion.Job {
 	if queued := s.jobs[id]; queued != nil {
 		return queued.Done
@@ -55,14 +55,14 @@
 	return nil
 }
 
-// flushDoneTasksLocked writes the done tasks of jobs that go on.
+// flushDoneTasksLocked writes the done tasks of unfinished jobs if a flush is due.
 func (s *Scheduler) flushDoneTasksLocked(now time.Time) {
 	if s.loaded && s.currentLocked() && s.completions.FlushDue(now) {
 		s.completions.Flush(now, s.unfinishedLocked())
 	}
 }
 
-// unfinishedLocked returns the jobs whose end is not being written.
+// unfinishedLocked yields the jobs whose end is not being written.
 func (s *Scheduler) unfinishedLocked() iter.Seq[*completion.Job] {
 	return func(yield func(*completion.Job) bool) {
 		for _, queued := range s.jobs {
@@ -73,7 +73,7 @@
 	}
 }
 
-// finishLocked writes a job's end once all its tasks are done.
+// finishLocked starts writing a job's end once all its tasks are done.
 func (s *Scheduler) finishLocked(queued *queue.Job) {
 	if queued.Finishing || queued.IsService() || queued.Done.Count < queued.Record.Job.Tasks {
 		return
@@ -81,26 +81,27 @@
 	queued.Finishing = true
 	since := time.Now()
 	s.spawn(func(ctx context.Context) {
-		for s.finish(ctx, queued, since) {
+		for s.tryFinish(ctx, queued, since) {
 		}
 	})
 }
 
-// finish returns false when nothing is left to do. However often the epoch changes,
-// the end keeps its place among those that wait to be written.
-func (s *Scheduler) finish(ctx context.Context, queued *queue.Job, since time.Time) bool {
+// tryFinish writes a job's end once, and reports whether that must be retried. All
+// retries count as queued since the first one, so that the write keeps its position
+// among those that wait for the store even if the epoch changes meanwhile.
+func (s *Scheduler) tryFinish(ctx context.Context, queued *queue.Job, since time.Time) bool {
 	s.mu.Lock()
 	id, fence := queued.Record.Job.ID, s.fenceLocked()
 	fence.QueuedAt = since
-	mine := s.jobs[id] == queued && ctx.Err() == nil
+	owned := s.jobs[id] == queued && ctx.Err() == nil
 	s.mu.Unlock()
-	if !mine {
+	if !owned {
 		return false
 	}
 	err := s.opts.Jobs.Finish(ctx, queued.Record, fence)
 	var conflict *state.Conflict
 	if errors.As(err, &conflict) && conflict.Includes(queued.Record.Condition().Key) {
-		s.log.Debug("writing the end of a job failed", "job", id, "err", err)
+		s.log.Debug("writing a job's end failed", "job", id, "err", err)
 		s.mu.Lock()
 		s.resolveJobLocked(id)
 		s.mu.Unlock()
--- a/internal/scheduler/doc.go
+++ b/internal/scheduler/doc.go
@@ -1,24 +1,26 @@
-// Package scheduler schedules the jobs of one controller. In regular passes it
-// places the tasks that wait on the machines it owns, preempts others for them,
-// and places the rest on other controllers' machines; it hosts theirs in turn. It
-// takes workers' heartbeats and sends commands, rents and returns machines, and
-// rebuilds its state from the consensus-backed key-value store when it gains jobs
-// or machines.
+// Package scheduler schedules the jobs of one controller. In each scheduling pass it
+// places pending tasks on the machines that it owns, preempts running tasks for them,
+// and requests room on other controllers' machines for those that do not fit. In turn
+// it hosts tasks of other controllers' jobs on its own machines. It also handles
+// workers' heartbeats, sends workers commands, rents and returns machines, and rebuilds
+// its state from the consensus-backed key-value store when it gains jobs or machines.
 //
-// What may be on each machine is in the store before a worker can see it, and a
-// task is placed again only when it is proven gone.
+// Two rules keep a task from running twice: the store records which tasks may be on a
+// machine before the machine's worker is sent them, and a task is placed again only
+// after its last attempt is proven gone.
 //
-// Scheduler owns the goroutines and the lock, and ties together packages that do one
-// part each; that lock guards their state, too:
+// Scheduler owns the goroutines and the lock, and connects packages that each do one
+// part of the work. The lock also guards the state of these packages:
 //
-//   - queue: the jobs, the order in which they are served, the teams' use;
-//   - packing and preemption: on which machine a task is placed, and what is
-//     stopped for it;
+//   - queue: the jobs, the order in which they are served, and the resources that
+//     each team uses;
+//   - packing and preemption: which machine a task is placed on, and which tasks are
+//     stopped to make room for it;
 //   - remote: attempts on other controllers' machines;
 //   - detector: which workers have failed, and when their leases have expired;
-//   - ownership and autoscale: machines that change owner, are rented or returned;
-//   - checkpoint and completion: the records of what may be on machines and of
-//     what is done; recovery reads them back.
+//   - ownership and autoscale: machines that change owner, are rented or are returned;
+//   - checkpoint and completion: the stored records of which tasks may be on machines
+//     and which are done; recovery reads them back.
 //
-// Methods whose names end in Locked are called with the lock held.
+// Methods whose names end in Locked must be called with the lock held.
 package scheduler
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -8,16 +8,18 @@
 	"heronwick/internal/queue"
 )
 
-// gangBooking is a task of a gang that is booked on a machine until all are.
+// gangBooking is the placement of one task of a gang, which is undone if not all tasks
+// of the gang find room.
 type gangBooking struct {
 	machine  *machine
 	attempt  *fleet.Attempt
-	wasDirty bool // whether the machine's record was to be written anyway
+	wasDirty bool // whether the record of the machine already had to be written
 }
 
-// placeGangLocked places all tasks of a gang in one walk, opening machines as
-// needed, or none: then its bookings are freed. While some tasks of an earlier
-// try may still run, the others wait: without peers they end by themselves.
+// placeGangLocked places either all tasks of a gang, opening idle machines as needed, or
+// none: if one finds no room, the others are removed again. It places none while tasks
+// of an earlier placement may still run. Those end by themselves, since a task of a gang
+// does not run without the others.
 func (s *Scheduler) placeGangLocked(queued *queue.Job, now time.Time) {
 	if queued.LiveTasks() > 0 || !s.teams.WithinLimit(queued, queued.Pending()) {
 		return
@@ -37,7 +39,7 @@
 		wasDirty := m.record.Dirty
 		a := s.placeLocked(queued, index, m, now)
 		if len(booked) > 0 {
-			// Peers find each other by the number of their attempt.
+			// Tasks of a gang find each other by their common attempt number.
 			m.Attempts.Delete(a.Key)
 			a.Attempt = booked[0].attempt.Attempt
 			m.Attempts.Put(a)
@@ -50,21 +52,21 @@
 	}
 }
 
-// findMachineForGangTaskLocked finds a machine for a gang's next task, one that holds its
-// image first; nil if there is none.
+// findMachineForGangTaskLocked finds a machine for a gang's next task, preferably one
+// that holds its image. It returns nil if there is none.
 func (s *Scheduler) findMachineForGangTaskLocked(queued *queue.Job, now time.Time) *machine {
-	const guaranteed = false // counts only for services, for which others are stopped
+	const guaranteed = false // matters only for services, which may preempt other tasks here
 	if m, _ := s.findWithImageLocked(queued, now, guaranteed); m != nil {
 		return m
 	}
 	return s.findAnyLocked(queued, now)
 }
 
-// freeBookingsLocked takes back the bookings of a gang that found no room as a
-// whole, without waking the scheduler or writing records: that would set off
-// the next try at once, for as long as the gang waits.
+// freeBookingsLocked removes the placed tasks of a gang that found no room as a whole.
+// It neither wakes the scheduler nor writes records: otherwise each failed placement
+// would trigger the next one immediately for as long as the gang waits.
 func (s *Scheduler) freeBookingsLocked(booked []gangBooking) {
-	if len(booked) > 0 { // there is more room again
+	if len(booked) > 0 {
 		s.packer.RoomFreed()
 	}
 	for _, b := range slices.Backward(booked) {
--- a/internal/scheduler/hostedattempts.go
+++ b/internal/scheduler/hostedattempts.go
@@ -8,16 +8,15 @@
 	"heronwick/internal/remote"
 )
 
-// hostedAttempt is an attempt of another controller's job that runs here, and
-// the machine that it is on.
+// hostedAttempt is an attempt on one of this scheduler's machines, with that machine.
 type hostedAttempt struct {
 	machine *machine
 	attempt *fleet.Attempt
 }
 
-// hostedAttemptsLocked finds the attempts that a request names. A peer settles
-// hundreds at once, of thousands that are here: their numbers alone, which only
-// a gang's tasks share, tell most of the others apart.
+// hostedAttemptsLocked finds the attempts that a settle request names. A request names
+// hundreds of the thousands of attempts here, so attempts are first filtered by attempt
+// number, which is a cheap comparison and which only tasks of the same gang share.
 func (s *Scheduler) hostedAttemptsLocked(req *peerpb.SettleRequest) map[fleet.Key]hostedAttempt {
 	numbers := remote.AttemptNumbers(req)
 	here := make(map[fleet.Key]hostedAttempt, len(numbers))
@@ -31,9 +30,10 @@
 	return here
 }
 
-// Settle answers what became of attempts that this scheduler may have taken, and
-// lets go of those whose end is recorded. What is not known here never will
-// be: a placement request that is still in flight must not bring it later.
+// Settle reports the states of attempts that this scheduler may host, and marks those
+// whose end the owner has recorded as handled. An attempt that is not known here is
+// denied from now on: a placement request that is still in flight must not place it
+// later.
 func (s *Scheduler) Settle(req *peerpb.SettleRequest) *peerpb.SettleReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,15 +56,15 @@
 	return reply
 }
 
-// maySettleLocked reports whether this scheduler knows all that may be on its
-// machines, as the membership that the sender means.
+// maySettleLocked reports whether this scheduler knows all attempts that may be on its
+// machines, and has the membership that the sender addresses.
 func (s *Scheduler) maySettleLocked(req *peerpb.SettleRequest) bool {
 	adopting := s.epoch.Leader == s.opts.Node && s.adoptedToken < req.Token
 	return s.loaded && s.epoch.Token >= req.Token && s.epoch.Members[s.opts.Node].Since == req.Since && !adopting
 }
 
-// settleAttemptLocked answers what became of an attempt, and denies it for good if it is
-// not here.
+// settleAttemptLocked returns the state of an attempt, and denies it from now on if it
+// is not here.
 func (s *Scheduler) settleAttemptLocked(attempt *peerpb.Attempt, here map[fleet.Key]hostedAttempt, now time.Time) *peerpb.Hosted {
 	key := remote.KeyOf(attempt)
 	found := here[key]
@@ -76,9 +76,9 @@
 		State: string(found.attempt.State), Why: string(found.attempt.Why)}
 }
 
-// dropStaleHostedLocked removes hosted attempts that were not recorded under the
-// shard assignment in which their owner requested them: when it settles them, they
-// are not here.
+// dropStaleHostedLocked removes hosted attempts that were requested under an earlier
+// shard assignment and have not been recorded since. If their owner settles them, the
+// answer is that they are not here.
 func (s *Scheduler) dropStaleHostedLocked(m *machine) {
 	for _, a := range m.Attempts.All() {
 		if a.Hosted && !a.Durable && a.Epoch < s.epoch.assignedToken {
--- a/internal/scheduler/hosting.go
+++ b/internal/scheduler/hosting.go
@@ -1,8 +1,8 @@
 package scheduler
 
-// Hosting: tasks of other controllers' jobs that find no room there are placed on
-// this scheduler's machines. hostedattempts.go answers their owners what became of
-// them.
+// Hosting: tasks of other controllers' jobs that find no room on those controllers'
+// machines are placed on this scheduler's machines. hostedattempts.go reports their
+// states to the owners of the jobs.
 
 import (
 	"cmp"
@@ -17,14 +17,15 @@
 	"heronwick/wire"
 )
 
-// Place takes tasks of another controller's jobs, as far as they find room
-// here; an idle machine is handed over to that controller instead.
+// Place places tasks of another controller's jobs on this scheduler's machines if there
+// is room. Instead of placing tasks on an idle machine, it hands the machine over to
+// that controller.
 func (s *Scheduler) Place(req *peerpb.PlaceRequest) *peerpb.PlaceReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reply := &peerpb.PlaceReply{}
 	if !s.opts.PlaceRequests.Accept(req) {
-		return reply // a late copy: what it names may have been taken, ended and taken elsewhere since
+		return reply // a late duplicate: since then its tasks may have run here and been placed elsewhere
 	}
 	if !s.mayHostLocked(req) {
 		return reply
@@ -42,30 +43,31 @@
 	return reply
 }
 
-// mayHostLocked reports whether this scheduler may place for the sender: both
-// must agree on who owns what.
+// mayHostLocked reports whether this scheduler may place tasks for the sender of a
+// request: both must have the same assignment of jobs and machines to controllers.
 func (s *Scheduler) mayHostLocked(req *peerpb.PlaceRequest) bool {
 	return s.loaded && s.permitted() && req.Token <= s.epoch.Token && req.Token >= s.epoch.assignedToken &&
 		s.opts.Authority.Token() == s.epoch.Token
 }
 
-// jobRequest is the part of a placement request that is for one job, and the reply
-// to fill in.
+// jobRequest is the part of a placement request that concerns one job, with the reply to
+// fill in.
 type jobRequest struct {
-	from       string // the job's owner
-	overloaded bool   // the owner is: no machine is handed over to it
+	from       string // the controller that owns the job
+	overloaded bool   // whether that controller is overloaded: then it is handed no machines
 	record     *job.Record
 	job        *queue.Job
 	wanted     *peerpb.Wanted
-	placed     int // how many of the wanted attempts are placed here
+	placed     int // how many of the requested attempts have been placed here
 	reply      *peerpb.PlaceReply
 }
 
-// pending is how many tasks of the job wait, also beyond the request.
+// pending returns how many tasks of the job still wait, including those that are not in
+// the request.
 func (r *jobRequest) pending() int { return int(r.wanted.Pending) - r.placed }
 
-// placeWantedLocked places what a request wants for one job. What finds no room
-// is remembered, so that the job takes its turn in the queue.
+// placeWantedLocked handles a request for one job. Tasks that find no room here are
+// counted, so that this scheduler reserves room for the job in the order of its queue.
 func (s *Scheduler) placeWantedLocked(from string, overloaded bool, wanted *peerpb.Wanted, reply *peerpb.PlaceReply, now time.Time) {
 	record := s.opts.Jobs.Active(wanted.Job)
 	if record == nil || s.epoch.OwnerOf(record.Job.Team, record.Job.ID) != from {
@@ -89,8 +91,8 @@
 	}
 }
 
-// hostedJobLocked returns the state of another controller's job, brought up to
-// date by what its owner says of it.
+// hostedJobLocked returns the state of another controller's job, updated with what the
+// job's owner reports in a request.
 func (s *Scheduler) hostedJobLocked(record *job.Record, wanted *peerpb.Wanted) *queue.Job {
 	queued := s.hostedJobs[wanted.Job]
 	if queued == nil {
@@ -106,20 +108,20 @@
 	return queued
 }
 
-// hostNextAttemptLocked places the next attempt that is requested, or hands over
-// machines for it. It returns false if the others need not be tried.
+// hostNextAttemptLocked places the next requested attempt, or hands over machines for
+// it. It returns false if the remaining attempts of the request need not be tried.
 func (s *Scheduler) hostNextAttemptLocked(r *jobRequest, attempt *peerpb.Attempt, index int, now time.Time) bool {
 	if r.record.Job.Kind == wire.KindGang {
 		s.handOverForGangLocked(r, now)
 		return false
 	}
-	m, making := s.findMachineForHostedLocked(r, now)
+	m, makingRoom := s.findMachineForHostedLocked(r, now)
 	if m == nil {
-		r.reply.Making = r.reply.Making || making
+		r.reply.Making = r.reply.Making || makingRoom
 		return false
 	}
 	if !r.overloaded && s.canHandOverLocked(m, now) {
-		// The owner places there itself.
+		// The owner of the job will place tasks on the machine itself.
 		r.reply.Given += uint32(s.handOverToOwnerLocked(r.job, m, r.from, r.pending(), now))
 		return false
 	}
@@ -128,8 +130,9 @@
 	return true
 }
 
-// handOverForGangLocked hands over an idle machine, if there is one. A gang is
-// placed in one walk by its owner, which needs machines for it, not places.
+// handOverForGangLocked hands over an idle machine, if there is one. The owner of a gang
+// places all of its tasks at once, and only on machines of its own, so the request can
+// only be met with machines.
 func (s *Scheduler) handOverForGangLocked(r *jobRequest, now time.Time) {
 	found := s.packer.FindIdle(r.job, now)
 	if found == nil {
@@ -141,12 +144,13 @@
 	}
 }
 
-// findMachineForHostedLocked finds a machine for the next task of a request: one that
-// holds its image first. making tells that room is being made instead.
-func (s *Scheduler) findMachineForHostedLocked(r *jobRequest, now time.Time) (m *machine, making bool) {
-	m, making = s.findWithImageLocked(r.job, now, r.wanted.Guaranteed)
-	if m != nil || making || r.wanted.Held {
-		return m, making
+// findMachineForHostedLocked finds a machine for the next task of a request, preferably
+// one that holds its image. makingRoom reports whether tasks are being preempted for it
+// instead.
+func (s *Scheduler) findMachineForHostedLocked(r *jobRequest, now time.Time) (m *machine, makingRoom bool) {
+	m, makingRoom = s.findWithImageLocked(r.job, now, r.wanted.Guaranteed)
+	if m != nil || makingRoom || r.wanted.Held {
+		return m, makingRoom
 	}
 	if m = s.findAnyLocked(r.job, now); m != nil {
 		return m, false
@@ -154,7 +158,7 @@
 	return nil, s.preemptLocked(r.job, now, queue.ImageOptional, r.wanted.Guaranteed)
 }
 
-// hostAttemptLocked books an attempt of another controller's job on a machine.
+// hostAttemptLocked assigns an attempt of another controller's job to a machine.
 func (s *Scheduler) hostAttemptLocked(r *jobRequest, attempt *peerpb.Attempt, index int, m *machine, now time.Time) {
 	id := r.wanted.Job
 	a := &fleet.Attempt{Key: remote.KeyOf(attempt), Job: id, Index: index, Hosted: true, Epoch: s.epoch.Token}
@@ -168,10 +172,10 @@
 	s.log.Debug("placed", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "image_held", m.HasImage(a.Image), "for", r.from)
 }
 
-// handOverToOwnerLocked hands over to a controller that starves the first machine
-// and as many more idle ones as the job's pending tasks need, but keeps as
-// many as it hands over: the next controller may need them as much. It returns
-// how many it handed over.
+// handOverToOwnerLocked hands over the first machine, and as many other idle machines as
+// the pending tasks of the job need, to the controller that owns the job. It keeps at
+// least as many of the other idle machines as it hands over, since the next controller
+// may need them as much. It returns how many machines it has handed over.
 func (s *Scheduler) handOverToOwnerLocked(queued *queue.Job, first *machine, node string, pending int, now time.Time) int {
 	tasksPerMachine := max(1, int(1/max(queued.DominantShare, 1e-3)))
 	needed := (pending + tasksPerMachine - 1) / tasksPerMachine
@@ -184,8 +188,8 @@
 	return len(chosen)
 }
 
-// idleForHandoverLocked returns the idle machines beside first that take a
-// task of the job and may be handed over, by name.
+// idleForHandoverLocked returns, sorted by name, the idle machines other than first that
+// have room for a task of the job and may be handed over.
 func (s *Scheduler) idleForHandoverLocked(queued *queue.Job, first *machine, now time.Time) []*machine {
 	var idle []*machine
 	for _, m := range s.machines {
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -10,11 +10,13 @@
 	"heronwick/wire"
 )
 
-// resolveRetryDelay is how long after a failed look-up of a job the next one is.
+// resolveRetryDelay is the pause between two attempts to read the state of a job from
+// the store.
 const resolveRetryDelay = 300 * time.Millisecond
 
-// resolveJobLocked looks up a job that is not among the active ones, since tasks
-// of it may be on machines: it is over, or only not heard of yet.
+// resolveJobLocked starts reading from the store whether a job that is not among the
+// active ones has ended or only is not known here yet. It is called for jobs that may
+// have tasks on machines.
 func (s *Scheduler) resolveJobLocked(id string) {
 	if s.resolvingJobs[id] {
 		return
@@ -29,7 +31,8 @@
 	})
 }
 
-// resolveJob returns false if the job could not be looked up.
+// resolveJob reads the state of a job from the store and handles its end. It returns
+// false if the read failed.
 func (s *Scheduler) resolveJob(ctx context.Context, id string) bool {
 	resolution, err := s.opts.Jobs.Resolve(ctx, id)
 	if err != nil {
@@ -39,14 +42,13 @@
 	defer s.mu.Unlock()
 	delete(s.resolvingJobs, id)
 	if resolution.Over || !resolution.Found {
-		// When it ended is not known: perhaps long ago.
+		// The job may have ended long ago, so its tasks must stop soon.
 		s.endJobLocked(id, resolution.Outcome, time.Now().Add(s.opts.Settings.HeartbeatInterval*2))
 	}
 	return true
 }
 
-// jobOf returns one of the scheduler's own jobs or a hosted one, nil if there is
-// neither.
+// jobOf returns the own or hosted job with the given ID, or nil if there is none.
 func (s *Scheduler) jobOf(id string) *queue.Job {
 	if queued := s.jobs[id]; queued != nil {
 		return queued
@@ -61,7 +63,7 @@
 	defer s.wakeLoop()
 	if s.ownsJobLocked(&record.Job) && s.jobs[record.Job.ID] == nil {
 		if !s.acceptedInEpochLocked(record) {
-			// Its owner before may have placed it, which the records tell.
+			// The previous owner may have placed tasks of it: the records must be read.
 			s.epochChecked.Store(false)
 			return
 		}
@@ -79,7 +81,7 @@
 	}
 }
 
-// addJobLocked queues one of the scheduler's own jobs.
+// addJobLocked adds one of this scheduler's own jobs to the queue.
 func (s *Scheduler) addJobLocked(record *job.Record) *queue.Job {
 	j := &record.Job
 	queued := s.newJob(record)
@@ -90,7 +92,7 @@
 	return queued
 }
 
-// newJob returns the queue's state of a job, its own or a hosted one.
+// newJob returns the queue state of an own or hosted job.
 func (s *Scheduler) newJob(record *job.Record) *queue.Job {
 	queued := queue.NewJob(record, s.opts.Settings.Objectives, s.types)
 	queued.SetReadiness(s.opts.Jobs.Readiness(record))
@@ -104,11 +106,12 @@
 	s.endJobLocked(id, outcome, time.Now().Add(s.opts.Settings.CancelTimeout*3/4))
 }
 
-// endJobLocked forgets a job that is over and stops its tasks.
-func (s *Scheduler) endJobLocked(id string, outcome job.Outcome, goneBy time.Time) {
+// endJobLocked removes a job that has ended and stops its tasks. stopBy is when the
+// tasks must be gone if the job was not completed.
+func (s *Scheduler) endJobLocked(id string, outcome job.Outcome, stopBy time.Time) {
 	queued := s.jobs[id]
 	if queued != nil {
-		s.log.Debug("job over", "job", id, "state", outcome.State, "after", time.Since(queued.AcceptedAt))
+		s.log.Debug("job ended", "job", id, "state", outcome.State, "after", time.Since(queued.AcceptedAt))
 		for a := range queued.Done.Unwritten() {
 			a.Handled = true
 		}
@@ -116,22 +119,22 @@
 	s.completions.RemoveJob(id)
 	delete(s.jobs, id)
 	delete(s.hostedJobs, id)
-	s.stopTasksLocked(id, outcome, goneBy)
+	s.stopTasksLocked(id, outcome, stopBy)
 }
 
-// stopTasksLocked stops every task of a job that is over, also those whose
-// start may still be under way. goneBy is when they must surely be gone.
-func (s *Scheduler) stopTasksLocked(id string, outcome job.Outcome, goneBy time.Time) {
+// stopTasksLocked stops all tasks of an ended job, including those that are still being
+// started. stopBy is when they must be gone.
+func (s *Scheduler) stopTasksLocked(id string, outcome job.Outcome, stopBy time.Time) {
 	for _, m := range s.machines {
-		s.stopTasksOnLocked(m, id, outcome, goneBy)
+		s.stopTasksOnLocked(m, id, outcome, stopBy)
 	}
 	s.wakeLoop()
 }
 
-// stopTasksOnLocked stops those of the tasks that are on one machine.
-func (s *Scheduler) stopTasksOnLocked(m *machine, id string, outcome job.Outcome, goneBy time.Time) {
+// stopTasksOnLocked stops the tasks of an ended job that are on one machine.
+func (s *Scheduler) stopTasksOnLocked(m *machine, id string, outcome job.Outcome, stopBy time.Time) {
 	if outcome.State == wire.JobDone {
-		goneBy = time.Time{} // its user relies on no time by which its tasks are gone
+		stopBy = time.Time{} // no time is promised for the tasks of a completed job
 	}
 	touched := false
 	for _, a := range m.Attempts.All() {
@@ -148,7 +151,7 @@
 			s.uncountAttemptLocked(a)
 			continue
 		}
-		a.Stop, a.GraceS, a.MustGoBy = true, 0, goneBy
+		a.Stop, a.GraceS, a.MustGoBy = true, 0, stopBy
 		if !a.Sized {
 			a.Team, a.Size, a.Sized = outcome.Team, outcomeTaskSize(outcome), true
 			if s.epoch.OwnerOf(outcome.Team, id) == s.opts.Node {
--- a/internal/scheduler/loop.go
+++ b/internal/scheduler/loop.go
@@ -7,18 +7,19 @@
 	"heronwick/internal/wait"
 )
 
-// passInterval is how long a pass waits after the one before, or twice as long as
-// that took. What comes meanwhile is served together: under load a pass for
-// each heartbeat would take more than this controller's part of a processor.
+// passInterval is the minimum pause after a pass; the pause is also at least twice as
+// long as the pass took. Changes during the pause are handled together in the next pass:
+// under load, one pass for each heartbeat would exceed this controller's share of a
+// processor.
 const passInterval = 10 * time.Millisecond
 
-// tickInterval is how often the scheduler does what no event calls for.
+// tickInterval is the period of work that no event triggers.
 const tickInterval = 200 * time.Millisecond
 
-// logLoadInterval is how often the scheduler logs how full it is.
+// logLoadInterval is how often the scheduler logs its load.
 const logLoadInterval = 10 * time.Second
 
-// loop schedules whenever something has changed, and ticks at regular times.
+// loop runs a scheduling pass after each wake-up and each tick.
 func (s *Scheduler) loop(ctx context.Context) error {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
@@ -37,15 +38,16 @@
 	}
 }
 
-// maintenance is when the rarer parts of a tick were last done. Only the loop uses it.
+// maintenance holds when the tasks of tick that run less often than each tick were last
+// run. Only the loop uses it.
 type maintenance struct {
 	logged, tidied, summarized, closed time.Time
 }
 
-// tick does what is due by the clock: it watches the machines, writes records that
-// can wait, and brings up to date what the other controllers are sent.
+// tick does the periodic work: it checks the machines, writes records that can be
+// delayed, and updates the summary that is sent to other controllers.
 func (s *Scheduler) tick(now time.Time) {
-	s.epochChecked.Store(false) // in case that a change went unnoticed
+	s.epochChecked.Store(false) // in case a notification of a change was missed
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rebalanceIdleLocked(now)
@@ -71,7 +73,7 @@
 	}
 }
 
-// schedule places what waits, and returns how long that took.
+// schedule runs one scheduling pass and returns how long it took.
 func (s *Scheduler) schedule() (took time.Duration) {
 	began := time.Now()
 	s.mu.Lock()
@@ -89,27 +91,28 @@
 	return took
 }
 
-// passStats sums how long passes took. Only the loop uses it.
+// passStats counts passes and sums their durations. Only the loop uses it.
 type passStats struct {
 	count          int
 	total, longest time.Duration
 }
 
-// add counts a pass.
+// add records a pass that took the given time.
 func (p *passStats) add(took time.Duration) {
 	p.count, p.total, p.longest = p.count+1, p.total+took, max(p.longest, took)
 }
 
-// EpochChanged notes that the epoch or a machine's owner has changed.
+// EpochChanged must be called when the epoch or the owner of a machine has changed.
 func (s *Scheduler) EpochChanged() { s.recheckEpoch() }
 
-// recheckEpoch has the next pass compare what the scheduler has with who owns what.
+// recheckEpoch makes the next pass compare the scheduler's jobs and machines with their
+// owners in the current epoch.
 func (s *Scheduler) recheckEpoch() {
 	s.epochChecked.Store(false)
 	s.wakeLoop()
 }
 
-// wakeLoop has the loop make another pass soon. It needs no lock.
+// wakeLoop triggers another pass soon. It needs no lock.
 func (s *Scheduler) wakeLoop() {
 	select {
 	case s.wake <- struct{}{}:
--- a/internal/scheduler/options.go
+++ b/internal/scheduler/options.go
@@ -16,65 +16,66 @@
 	"heronwick/wire"
 )
 
-// Authority is the scheduler's view of the cluster: the epoch under which it
-// acts as leader or follower, the fencing token it writes under, which
-// machines it owns, and what is proven about other controllers.
+// Authority is the scheduler's view of the cluster: the epoch under which it acts as
+// leader or follower, the fencing token of its writes and commands, the machines that it
+// owns, and what is proven about other controllers.
 type Authority interface {
-	// View returns the current epoch, the condition that fences what is decided under
-	// it, and this controller's part in it.
+	// View returns the current epoch, the condition that fences writes decided under it,
+	// and this controller's role in it.
 	View() cluster.View
-	// Token returns the fencing token under which workers are commanded.
+	// Token returns the fencing token that commands to workers carry.
 	Token() uint64
-	// FencingToken reports whether the scheduler may answer and command workers now,
-	// and under which fencing token.
+	// FencingToken returns the fencing token for replies and commands to workers; ok is
+	// false if the scheduler may not send any now.
 	FencingToken() (token uint64, ok bool)
-	// FencedSince returns since when surely no controller has answered a worker
-	// under an epoch older than token, if that is proven.
+	// FencedSince returns a time after which no controller has replied to a worker under
+	// an epoch older than token; ok is false if that is not proven.
 	FencedSince(token uint64) (since time.Time, ok bool)
 	// AdvanceEpoch raises the fencing token and changes nothing else.
 	AdvanceEpoch(ctx context.Context) error
 
-	// Ownership returns the machines of this controller and those whose owner is no
-	// member.
+	// Ownership returns the machines that this controller owns and those whose owner is
+	// not a member.
 	Ownership() cluster.Ownership
-	// HeartbeatTarget returns the controller to which a machine's worker should send
-	// its heartbeats; owned reports whether the machine has an owner that is a member.
+	// HeartbeatTarget returns the controller to which a machine's worker should send its
+	// heartbeats; owned reports whether the machine's owner is a member.
 	HeartbeatTarget(machine string) (node string, owned bool)
-	// HostOf returns the member that owns a machine in an epoch.
+	// HostOf returns the member that owns the machine under the given epoch.
 	HostOf(epoch *cluster.Epoch, machine string) string
-	// OwnerOf returns a machine's owner, member or not; named reports whether any
-	// transfer names the machine.
+	// OwnerOf returns a machine's owner, whether or not that is a member; named reports
+	// whether any transfer names the machine.
 	OwnerOf(machine string) (owner cluster.Owner, named bool)
-	// Fresh reports whether every transfer of an older epoch has been seen.
+	// Fresh reports whether all transfers written under older epochs have been seen.
 	Fresh() bool
-	// NewTransfer returns the write that makes node the owner of machines, given by
-	// name with their records, or, with node "", marks them as released; ok is false
-	// if the node is no member.
+	// NewTransfer returns the write that makes node the owner of the machines, which are
+	// given by name with their records. If node is "", the write marks them as released.
+	// ok is false if node is not a member.
 	NewTransfer(node string, machines map[string]json.RawMessage) (write cluster.TransferWrite, ok bool)
-	// NoteOwner applies a transfer that was written at a version, before the watch
-	// brings it.
+	// NoteOwner applies a transfer that was written at the given version, without
+	// waiting for the watch to deliver it.
 	NoteOwner(change wire.Change, version uint64)
 
-	// PeerCapacity returns what the machines of the other members have together.
+	// PeerCapacity returns the total capacity of the other members' machines.
 	PeerCapacity() cluster.PeerCapacity
-	// IdleMachines returns how many idle machines another controller has, 0 if that
-	// is not known.
+	// IdleMachines returns how many idle machines another controller has, or 0 if that
+	// is unknown.
 	IdleMachines(node string) int
-	// PeerLoads returns the loads of the other members that were heard from lately,
-	// by node.
+	// PeerLoads returns, by node, the loads of the other members that have sent a
+	// heartbeat recently.
 	PeerLoads() map[string]cluster.PeerLoad
-	// UnplacedWants returns the tasks for which the other members' machines have no
-	// room.
+	// UnplacedWants returns the tasks of the other members that find no room on those
+	// members' machines.
 	UnplacedWants() []*peerpb.Want
 }
 
-// Workers sends requests straight to workers, by address. The answer is a heartbeat.
+// Workers sends requests directly to workers, by address. A worker answers with a
+// heartbeat.
 type Workers interface {
 	Command(ctx context.Context, address string, req *wire.CommandRequest) (*wire.Heartbeat, error)
 	Status(ctx context.Context, address string) (*wire.Heartbeat, error)
 }
 
-// Cloud tells which machines there are. What changes that goes through duty.Actions.
+// Cloud lists the rented machines. Requests that change them go through duty.Actions.
 type Cloud interface {
 	List(ctx context.Context) ([]wire.Machine, error)
 }
@@ -85,25 +86,26 @@
 	Settle(ctx context.Context, node string, req *peerpb.SettleRequest) (*peerpb.SettleReply, error)
 }
 
-// Jobs holds the jobs' records and notifies the scheduler of new and ended jobs.
+// Jobs stores the job records and notifies the scheduler of new and ended jobs.
 type Jobs interface {
-	// Listen notifies listener of every change from now on; nil ends that.
+	// Listen makes listener receive every later change; a nil listener ends the
+	// notifications.
 	Listen(listener job.Listener)
-	// Active returns an active job's record, nil if none is cached.
+	// Active returns the record of an active job, or nil if none is cached.
 	Active(id string) *job.Record
 	// AllActive returns the records of all active jobs.
 	AllActive() []*job.Record
-	// Ended reports whether a job is known to be over, without a read of the store.
+	// Ended reports whether a job is known to have ended. It does not read the store.
 	Ended(id string) bool
-	// Readiness returns whether a job's dependencies are done, and its effective
-	// priority.
+	// Readiness returns a job's effective priority and whether its dependencies are
+	// done.
 	Readiness(record *job.Record) job.Readiness
-	// Resolve reads from the store whether a job that is not cached is over, or
-	// whether there is none.
+	// Resolve reads from the store whether a job that is not cached has ended or does
+	// not exist.
 	Resolve(ctx context.Context, id string) (job.Resolution, error)
-	// ReadDone reads the bitmaps of all jobs' done tasks.
+	// ReadDone reads the bitmaps of done tasks of all jobs.
 	ReadDone(ctx context.Context) ([]job.DoneBucket, error)
-	// Finish records that every task of the job is done.
+	// Finish records that all tasks of the job are done.
 	Finish(ctx context.Context, record *job.Record, fence state.FencingCondition) error
 }
 
@@ -113,8 +115,8 @@
 	List(ctx context.Context, priority state.Priority, prefix string) (state.Listing, error)
 }
 
-// Committer writes to the consensus-backed key-value store; several writes
-// may be committed together. It returns the version of the commit.
+// Committer writes to the consensus-backed key-value store. It may commit several writes
+// together, and returns the version of the commit.
 type Committer interface {
 	Commit(ctx context.Context, write state.Write) (uint64, error)
 }
@@ -135,13 +137,15 @@
 	Records   Records
 	Committer Committer
 
-	// PlaceRequests are those that have come from peers. They outlast a Scheduler.
+	// PlaceRequests holds the placement requests received from peers. It outlives a
+	// Scheduler.
 	PlaceRequests *remote.RequestHistory
-	// Resign gives up leading.
+	// Resign makes this controller step down as leader.
 	Resign func(ctx context.Context)
-	// WorkersAtPeers returns how many workers have lately come to a peer instead.
+	// WorkersAtPeers returns how many workers have recently sent their heartbeats to a
+	// peer instead of this controller.
 	WorkersAtPeers func() int
-	// Latency returns how long goroutines lately waited for the processor; nil: that
-	// is not measured.
+	// Latency returns how long goroutines recently waited for a processor. It may be
+	// nil; then the scheduler takes no account of that.
 	Latency func() time.Duration
 }
--- a/internal/scheduler/packing.go
+++ b/internal/scheduler/packing.go
@@ -6,7 +6,7 @@
 	"heronwick/internal/packing"
 )
 
-// packingScheduler is what the Packer sees of the scheduler.
+// packingScheduler implements packing.Scheduler.
 type packingScheduler struct{ *Scheduler }
 
 // Machines implements packing.Scheduler.
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -8,9 +8,10 @@
 	"heronwick/wire"
 )
 
-// scheduleLocked places what can be placed: by effective priority, then teams
-// within their guarantee, then what can be in time, the least work first. A job
-// that finds no room does not hold up the others.
+// scheduleLocked places pending tasks. Jobs are served by effective priority; within
+// one, teams within their guarantee come first, then jobs that can still be done in
+// time, those with the least remaining work first. A job that finds no room does not
+// block the jobs after it.
 func (s *Scheduler) scheduleLocked(now time.Time) {
 	if !s.loaded || !s.permitted() {
 		return
@@ -19,8 +20,8 @@
 	if len(waiting) == 0 || !s.ensureAttemptNumbersLocked(now) {
 		return
 	}
-	// Hosted jobs take their turn: what they want is kept free until their owner
-	// requests again.
+	// Hosted jobs are served in the same order as own jobs: room for them is reserved
+	// until their owner sends its next request.
 	for _, hosted := range s.hostedJobs {
 		if hosted.OwnerUnplaced > 0 && now.Sub(hosted.OwnerRequestedAt) < packing.ReservationTimeout {
 			waiting = append(waiting, hosted)
@@ -33,19 +34,19 @@
 		for n < len(entries) && entries[n].TiesExceptRemaining(entries[0]) {
 			n++
 		}
-		s.serveTurnLocked(entries[:n], now)
+		s.serveTiedJobsLocked(entries[:n], now)
 		entries = entries[n:]
 	}
 }
 
-// beginPassLocked forgets what the last pass over the queue has found.
+// beginPassLocked clears what the previous pass over the queue has cached.
 func (s *Scheduler) beginPassLocked() {
 	s.packer.BeginPass()
 	s.victims = victimSummary{}
 	s.fetchDeferred = false
 }
 
-// eligibleJobsLocked returns the scheduler's own jobs with tasks that may be
+// eligibleJobsLocked returns this scheduler's own jobs with pending tasks that may be
 // placed now.
 func (s *Scheduler) eligibleJobsLocked(now time.Time) (eligible []*queue.Job) {
 	for _, queued := range s.jobs {
@@ -62,21 +63,23 @@
 	return eligible
 }
 
-// serveTurnLocked serves jobs that differ only in the work that is left: freed
-// room first goes to whom it saves a fetch, then to any, in order.
-func (s *Scheduler) serveTurnLocked(turn []queue.Entry, now time.Time) {
+// serveTiedJobsLocked serves jobs that differ only in their remaining work. In the first
+// round, tasks of arrays and hosted jobs are placed only on machines that hold their
+// image; in the second round on any machine. So freed room is first used where it saves
+// a fetch.
+func (s *Scheduler) serveTiedJobsLocked(tied []queue.Entry, now time.Time) {
 	s.fetchDeferred = false
-	for _, entry := range turn {
+	for _, entry := range tied {
 		s.serveJobLocked(entry.Job, now, queue.ImageRequired)
 	}
-	for _, entry := range turn {
+	for _, entry := range tied {
 		s.serveJobLocked(entry.Job, now, queue.ImageOptional)
 	}
 }
 
-// serveJobLocked places tasks of a job, or reserves room for a hosted one. Only of arrays
-// and hosted jobs it depends on images where: the others are served once, in the
-// first round of a turn.
+// serveJobLocked places tasks of an own job, or reserves room for a hosted one. The
+// image policy applies only to arrays and hosted jobs. Others are served once per pass,
+// in the first of the two rounds of serveTiedJobsLocked, and with any image policy.
 func (s *Scheduler) serveJobLocked(queued *queue.Job, now time.Time, images queue.ImagePolicy) {
 	switch {
 	case queued.Hosted:
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -8,9 +8,9 @@
 	"heronwick/wire"
 )
 
-// placeJobLocked places a job's tasks as far as there is room. With
-// ImageRequired, they go where the job's image is, and elsewhere only once the
-// job has left room there to others for long enough.
+// placeJobLocked places tasks of a job until none is pending or there is no room. With
+// ImageRequired, it uses only machines that hold the job's image, until the job has left
+// room on other machines to other jobs for long enough, see shouldDeferFetchLocked.
 func (s *Scheduler) placeJobLocked(queued *queue.Job, now time.Time, images queue.ImagePolicy) {
 	for {
 		index, ok := queued.NextTask()
@@ -21,11 +21,11 @@
 			return
 		}
 		if !s.teams.WithinLimit(queued, 1) {
-			queued.UnplacedSince = time.Time{} // more machines would not help
+			queued.UnplacedSince = time.Time{} // limited by its team, not by room
 			return
 		}
-		m, waits := s.findMachineForTaskLocked(queued, now, images)
-		if waits {
+		m, deferred := s.findMachineForTaskLocked(queued, now, images)
+		if deferred {
 			return
 		}
 		if m == nil {
@@ -37,17 +37,18 @@
 	}
 }
 
-// findMachineForTaskLocked finds a machine for the job's next task, nil if there is no
-// room. waits tells that the task waits although there may be room: for what is
-// being stopped beside its image, for the other schedulers' answers, or for others
-// that need no fetch there.
-func (s *Scheduler) findMachineForTaskLocked(queued *queue.Job, now time.Time, images queue.ImagePolicy) (m *machine, waits bool) {
+// findMachineForTaskLocked finds a machine for the job's next task. It returns nil if
+// there is no room. It also returns nil, with deferred true, if the task waits although
+// there may be room: until tasks that are being stopped leave a machine that holds its
+// image, until other schedulers have answered whether they have room on such a machine,
+// or because it leaves the room to jobs whose image is cached there.
+func (s *Scheduler) findMachineForTaskLocked(queued *queue.Job, now time.Time, images queue.ImagePolicy) (m *machine, deferred bool) {
 	full := s.packer.Full(queued, now)
 	if full && !queued.IsService() {
 		return nil, false
 	}
-	m, making := s.findWithImageLocked(queued, now, s.teams.Guaranteed(queued))
-	if making || m == nil && s.awaitRemoteImageLocked(queued, now) {
+	m, makingRoom := s.findWithImageLocked(queued, now, s.teams.Guaranteed(queued))
+	if makingRoom || m == nil && s.awaitRemoteImageLocked(queued, now) {
 		return nil, true
 	}
 	switch {
@@ -56,17 +57,17 @@
 		return m, false
 	case full:
 		return nil, false
-	case images == queue.ImageRequired && s.packer.HasRoom(queued, now) && s.defersFetchLocked(queued, now):
+	case images == queue.ImageRequired && s.packer.HasRoom(queued, now) && s.shouldDeferFetchLocked(queued, now):
 		return nil, true
 	}
 	return s.findAnyLocked(queued, now), false
 }
 
-// defersFetchLocked reports whether a job leaves a machine that would have to
-// fetch its image to others whose image it holds: for as long as the fetch
-// would take, since then waiting has cost as much, and whenever one before it
-// in the same turn does.
-func (s *Scheduler) defersFetchLocked(queued *queue.Job, now time.Time) bool {
+// shouldDeferFetchLocked reports whether a job leaves a machine that would have to fetch
+// its image to jobs whose image is cached there. It does for about as long as the fetch
+// would take: after that, waiting has cost as much as the fetch. It also does so
+// whenever an earlier job among those being served does.
+func (s *Scheduler) shouldDeferFetchLocked(queued *queue.Job, now time.Time) bool {
 	if queued.DeferredSince.IsZero() {
 		queued.DeferredSince = now
 	}
@@ -76,8 +77,8 @@
 	return s.fetchDeferred
 }
 
-// handleNoRoomLocked notes that a job's next task finds no room, and stops other tasks
-// for it as far as the rules permit.
+// handleNoRoomLocked records that there is no room for a job's next task, and stops
+// other tasks to make room if the preemption rules permit it.
 func (s *Scheduler) handleNoRoomLocked(queued *queue.Job, now time.Time) {
 	s.packer.SetFull(queued)
 	if queued.UnplacedSince.IsZero() {
@@ -86,17 +87,19 @@
 	s.preemptLocked(queued, now, queue.ImageOptional, s.teams.Guaranteed(queued))
 }
 
-// findWithImageLocked opens or finds a machine for the job that holds its image.
-// For a service, room is made on one of those before another machine fetches
-// the image; making tells that this is under way.
-func (s *Scheduler) findWithImageLocked(queued *queue.Job, now time.Time, guaranteed bool) (m *machine, making bool) {
+// findWithImageLocked finds a machine that holds the job's image and has room for its
+// next task; an idle one is added to the open machines. If there is none for a service,
+// it preempts tasks on a machine that holds the image rather than have another machine
+// fetch it; makingRoom reports whether that is in progress.
+func (s *Scheduler) findWithImageLocked(queued *queue.Job, now time.Time, guaranteed bool) (m *machine, makingRoom bool) {
 	if found := s.packer.FindWithImage(queued, now); found != nil {
 		return s.machines[found.Name], false
 	}
 	return nil, queued.IsService() && s.preemptLocked(queued, now, queue.ImageRequired, guaranteed)
 }
 
-// findAnyLocked opens or finds a machine for the job, whatever images it holds.
+// findAnyLocked finds a machine with room for the job's next task, whatever images it
+// holds; an idle one is added to the open machines.
 func (s *Scheduler) findAnyLocked(queued *queue.Job, now time.Time) *machine {
 	if found := s.packer.FindAny(queued, now); found != nil {
 		return s.machines[found.Name]
@@ -104,13 +107,14 @@
 	return nil
 }
 
-// imageWaitTimeout is how long a service's task waits for the other schedulers to say
-// whether they have room beside its image, before it goes where that must be
-// fetched.
+// imageWaitTimeout is how long a service's task waits for other schedulers to answer
+// whether they have room on a machine that holds its image. After that it is placed on a
+// machine that must fetch the image.
 const imageWaitTimeout = 300 * time.Millisecond
 
-// awaitRemoteImageLocked reports whether the other schedulers may still answer that they have
-// room beside the job's image.
+// awaitRemoteImageLocked reports whether a service still waits for other schedulers to
+// answer whether they have room on a machine that holds its image. The first call starts
+// the wait.
 func (s *Scheduler) awaitRemoteImageLocked(queued *queue.Job, now time.Time) bool {
 	if queued.Record.Job.Kind != wire.KindService || len(s.epoch.Members) < 2 {
 		return false
@@ -122,8 +126,9 @@
 	return now.Sub(queued.ImageWaitSince) < imageWaitTimeout
 }
 
-// placeLocked books a task on a machine. The attempt's number rises with each
-// placement, across controllers and restarts, since tokens do.
+// placeLocked assigns a task to a machine under a new attempt number. Numbers rise with
+// each placement, also across controllers and restarts, because their high bits are the
+// fencing token.
 func (s *Scheduler) placeLocked(queued *queue.Job, index int, m *machine, now time.Time) *fleet.Attempt {
 	a := s.newAttempt(queued, index)
 	m.Add(a, now)
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// victimSearchInterval is how soon tasks to stop are searched for again where none
-	// was found: that goes over every task of the scheduler.
+	// victimSearchInterval is the minimum time between two searches for tasks to stop
+	// for a job if the first found none: a search goes over every task of the scheduler.
 	victimSearchInterval = 300 * time.Millisecond
-	// preemptionTimeout is for how long tasks that are being stopped for a job
-	// are awaited before more are stopped for it.
+	// preemptionTimeout is how long to wait for the tasks that are being stopped for a
+	// job before stopping more for it.
 	preemptionTimeout = 2 * time.Second
 )
 
-// victimSummary is what one pass over the queue has found out about the tasks
-// that may be stopped.
+// victimSummary caches, during one pass over the queue, which tasks may be preempted at
+// all.
 type victimSummary struct {
-	known          bool // whether the pass has searched
-	lowestRank     int  // the highest number, of the lowest priority
-	aboveGuarantee bool // whether any team is above its guarantee
+	known          bool // whether the pass has computed the summary
+	lowestRank     int  // of the tasks that may be stopped, the highest rank number, that is, the lowest priority
+	aboveGuarantee bool // whether any team uses more than its guarantee
 }
 
-// mayPreemptAnyLocked reports whether there can be any task that the job may
-// have stopped: looking for the best on every machine takes long.
+// mayPreemptAnyLocked reports whether there may be any task that can be preempted for
+// the job. It avoids the expensive search for the best victims on every machine.
 func (s *Scheduler) mayPreemptAnyLocked(queued *queue.Job, guaranteed bool) bool {
 	if !s.victims.known {
 		s.victims = s.summarizeVictimsLocked()
@@ -35,7 +35,7 @@
 	return queued.EffectivePriority < s.victims.lowestRank || guaranteed && s.victims.aboveGuarantee
 }
 
-// summarizeVictimsLocked goes over all tasks once for the pass.
+// summarizeVictimsLocked computes the summary from all tasks, once per pass.
 func (s *Scheduler) summarizeVictimsLocked() victimSummary {
 	summary := victimSummary{known: true, aboveGuarantee: s.teams.AnyAboveGuarantee()}
 	for _, m := range s.machines {
@@ -48,19 +48,19 @@
 	return summary
 }
 
-// preemptLocked stops tasks to make room for one task of the job, as far as
-// the rules of preemption permit, on the machine where that loses least. It
-// reports whether room is being made. guaranteed is whether the job's team stays
-// within its guarantee with the task.
+// preemptLocked stops tasks to make room for one task of the job, if the preemption
+// rules permit it, on the machine where that loses the least work. It reports whether
+// room is being made. guaranteed says whether the job's team stays within its guarantee
+// with the additional task.
 func (s *Scheduler) preemptLocked(queued *queue.Job, now time.Time, images queue.ImagePolicy, guaranteed bool) bool {
 	if !s.mayPreemptAnyLocked(queued, guaranteed) {
 		return false
 	}
-	tried := &queued.NoVictimFoundAt[images]
-	if now.Sub(*tried) < victimSearchInterval {
+	lastSearch := &queued.NoVictimFoundAt[images]
+	if now.Sub(*lastSearch) < victimSearchInterval {
 		return false
 	}
-	// What was stopped a moment ago has not made its room yet.
+	// Tasks that were stopped recently may not have freed their room yet.
 	if now.Sub(queued.PreemptedAt) < preemptionTimeout && s.anyStoppingLocked() {
 		return true
 	}
@@ -70,7 +70,7 @@
 	}
 	plan := preemption.Choose(req, s.preemptionMachinesLocked(queued, images, now), now)
 	if plan == nil {
-		*tried = now
+		*lastSearch = now
 		return false
 	}
 	queued.PreemptedAt = now
@@ -78,8 +78,8 @@
 	return true
 }
 
-// preemptionMachinesLocked yields the machines on which room may be made for
-// the job.
+// preemptionMachinesLocked yields the machines on which tasks may be stopped for the
+// job.
 func (s *Scheduler) preemptionMachinesLocked(queued *queue.Job, images queue.ImagePolicy, now time.Time) iter.Seq[*fleet.Machine] {
 	return func(yield func(*fleet.Machine) bool) {
 		for _, m := range s.machines {
@@ -96,8 +96,8 @@
 	}
 }
 
-// executePreemptionLocked stops the victims. Room that they leave to a hosted
-// job is kept for it: it is not in this scheduler's queue.
+// executePreemptionLocked stops the victims of a plan. For a hosted job it also reserves
+// the room that they free, since that job is not in this scheduler's queue.
 func (s *Scheduler) executePreemptionLocked(queued *queue.Job, plan *preemption.Plan, now time.Time) {
 	m := s.machines[plan.Machine.Name]
 	if queued.Hosted {
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// progressRepeatDuration is how long a change of progress is sent, so that a lost
-	// message does not hide it.
+	// progressRepeatDuration is how long a change of progress is sent repeatedly, in
+	// case a message is lost.
 	progressRepeatDuration = 3 * time.Second
-	// fullProgressInterval is how often that of all jobs is sent: to a controller that
-	// has started since, a job whose progress does not change would stay queued.
+	// fullProgressInterval is how often the progress of all jobs is sent. Without it, a
+	// controller that has started since would show a job as queued until its progress
+	// changes.
 	fullProgressInterval = 20 * time.Second
 )
 
-// Progress returns how far the jobs are whose progress has changed lately, and
-// now and then of all, by job ID. It is for display only.
+// Progress returns, by job ID, the progress of jobs where it has changed recently, and
+// every fullProgressInterval that of all jobs. It is for display only.
 func (s *Scheduler) Progress() map[string]job.Progress {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,8 +41,8 @@
 	return changed
 }
 
-// runningTasksLocked counts the tasks that run, by job: own and hosted ones here,
-// own ones at other schedulers.
+// runningTasksLocked counts the running tasks by job: own and hosted ones on this
+// scheduler's machines, and own ones on other schedulers' machines.
 func (s *Scheduler) runningTasksLocked() map[string]int {
 	running := map[string]int{}
 	for _, m := range s.machines {
--- a/internal/scheduler/remoteplacement.go
+++ b/internal/scheduler/remoteplacement.go
@@ -19,11 +19,12 @@
 	peerTimeout = time.Second
 	// maxRequestTasks bounds the tasks of one placement request.
 	maxRequestTasks = 48
-	// maxRequestTasksPerJob bounds those of one job in it.
+	// maxRequestTasksPerJob bounds the tasks of one job in it.
 	maxRequestTasksPerJob = 16
 )
 
-// trackRemoteLocked counts an attempt that may be on another controller's machine.
+// trackRemoteLocked starts tracking an attempt that may be on another controller's
+// machine, and counts it.
 func (s *Scheduler) trackRemoteLocked(a *fleet.Attempt, host, zone string) {
 	if s.remoteAttempts.Get(a.Key) != nil {
 		return
@@ -32,14 +33,14 @@
 	s.countAttemptLocked(zone, a)
 }
 
-// untrackRemoteLocked drops a remote attempt: it is surely gone, or not this
-// scheduler's to count any more.
+// untrackRemoteLocked stops tracking a remote attempt that is proven gone or no longer
+// belongs to one of this scheduler's jobs.
 func (s *Scheduler) untrackRemoteLocked(a *remote.Attempt) {
 	s.remoteAttempts.Delete(a.Key)
 	s.uncountAttemptLocked(a.Attempt)
 }
 
-// setRemoteZoneLocked notes in which zone a remote attempt is.
+// setRemoteZoneLocked records the zone that a remote attempt runs in.
 func (s *Scheduler) setRemoteZoneLocked(a *remote.Attempt, zone string) {
 	if !a.Counted || a.Zone == zone {
 		return
@@ -50,7 +51,8 @@
 	a.Zone = zone
 }
 
-// placeRemotelyLocked requests room for what waits from the other controllers.
+// placeRemotelyLocked requests room from other controllers for jobs that found none
+// here.
 func (s *Scheduler) placeRemotelyLocked(now time.Time) {
 	if !s.loaded || !s.permitted() || len(s.epoch.Members) < 2 || !s.ensureAttemptNumbersLocked(now) {
 		return
@@ -67,8 +69,9 @@
 	}
 }
 
-// remoteCandidatesLocked returns the jobs that wait for room. It is urgent
-// where one of them waits only for answers about room beside its image.
+// remoteCandidatesLocked returns the jobs for which room is requested. urgent reports
+// whether one of them waits only for other schedulers to answer whether they have room
+// on a machine that holds its image.
 func (s *Scheduler) remoteCandidatesLocked(now time.Time) (waiting []*queue.Job, urgent bool) {
 	for _, queued := range s.jobs {
 		awaitsImage := now.Sub(queued.ImageWaitSince) < imageWaitTimeout
@@ -80,14 +83,14 @@
 	return waiting, urgent
 }
 
-// canPlaceTaskLocked reports whether a task of the job may be placed now, on any
+// canPlaceTaskLocked reports whether a task of the job may be placed now on any
 // controller's machines.
 func (s *Scheduler) canPlaceTaskLocked(queued *queue.Job, now time.Time) bool {
 	return queued.Pending() > 0 && s.teams.WithinLimit(queued, 1) && !now.Before(queued.NotBefore) && !queued.FailsEverywhere()
 }
 
-// placementPeersLocked returns the other controllers in the order in which
-// they get placement requests: the leader first, which has the idle machines.
+// placementPeersLocked returns the other controllers in the order in which they are sent
+// placement requests: first the leader, since it has the idle machines.
 func (s *Scheduler) placementPeersLocked() []string {
 	nodes := []string{s.epoch.Leader}
 	for node := range s.epoch.Members {
@@ -99,9 +102,9 @@
 	return slices.DeleteFunc(nodes, func(node string) bool { return node == s.opts.Node })
 }
 
-// requestPlacementLocked requests room from one peer. The tasks count as placed
-// remotely before the request goes out: without an answer the peer may have
-// taken them.
+// requestPlacementLocked requests room from one peer. The tasks are tracked as remote
+// attempts before the request is sent, because the peer may place them even if its
+// answer is lost.
 func (s *Scheduler) requestPlacementLocked(node string, waiting []*queue.Job) {
 	req := s.buildPlaceRequestLocked(node, waiting)
 	if len(req.Wanted) == 0 {
@@ -116,17 +119,16 @@
 	})
 }
 
-// sendPlaceRequest sends a placement request, which must be answered within
-// peerTimeout.
+// sendPlaceRequest sends a placement request and waits up to peerTimeout for the answer.
 func (s *Scheduler) sendPlaceRequest(ctx context.Context, node string, req *peerpb.PlaceRequest) (*peerpb.PlaceReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	return s.opts.Peers.Place(ctx, node, req)
 }
 
-// buildPlaceRequestLocked builds a request for room for at most maxRequestTasks
-// tasks of the waiting jobs, maxRequestTasksPerJob of each, and tracks each as
-// a remote attempt on node.
+// buildPlaceRequestLocked builds a request for room for up to maxRequestTasks tasks of
+// the waiting jobs and up to maxRequestTasksPerJob of each. It tracks each task as a
+// remote attempt on node.
 func (s *Scheduler) buildPlaceRequestLocked(node string, waiting []*queue.Job) *peerpb.PlaceRequest {
 	req := &peerpb.PlaceRequest{Node: s.opts.Node, Token: s.epoch.Token}
 	requested := 0
@@ -143,8 +145,8 @@
 	return req
 }
 
-// buildWantedLocked takes up to budget next tasks of queued, maxRequestTasksPerJob at
-// most, as new attempts that are requested of node.
+// buildWantedLocked dequeues up to budget tasks of a job, and no more than
+// maxRequestTasksPerJob, and returns a request for them as new attempts on node.
 func (s *Scheduler) buildWantedLocked(queued *queue.Job, node string, budget int) *peerpb.Wanted {
 	wanted := &peerpb.Wanted{
 		Job:        queued.Record.Job.ID,
@@ -173,12 +175,13 @@
 	return wanted
 }
 
-// applyPlaceReplyLocked takes the peer's answer to req: the attempts that it
-// took move to their zone, the others are forgotten. Without an answer (err),
-// they stay tracked until they are settled.
+// applyPlaceReplyLocked applies a peer's reply to a placement request. Attempts that the
+// peer has placed get their zone, the others are no longer tracked. If the request
+// failed with err, all stay tracked until they are settled, since the peer may have
+// placed them.
 func (s *Scheduler) applyPlaceReplyLocked(node string, req *peerpb.PlaceRequest, reply *peerpb.PlaceReply, err error) {
 	if err != nil {
-		s.log.Debug("asking for room failed", "peer", node, "err", err)
+		s.log.Debug("placement request failed", "peer", node, "err", err)
 	}
 	s.placeThrottle.End(node, placeOutcome(reply, err), time.Now())
 	taken := map[fleet.Key]*peerpb.Hosted{}
@@ -193,7 +196,8 @@
 	s.wakeLoop()
 }
 
-// placeOutcome is what a reply means for when the peer gets the next request.
+// placeOutcome returns the outcome of a request, which determines when the peer gets the
+// next one.
 func placeOutcome(reply *peerpb.PlaceReply, err error) remote.Outcome {
 	switch {
 	case len(reply.GetTaken()) > 0 || reply.GetGiven() > 0 || reply.GetMaking():
@@ -205,8 +209,8 @@
 	}
 }
 
-// applyPlacedAttemptLocked settles one attempt of a placement request by the
-// answer: taken holds those that the peer took.
+// applyPlacedAttemptLocked applies a reply to one attempt of the request. taken holds
+// the attempts that the peer has placed.
 func (s *Scheduler) applyPlacedAttemptLocked(node, job string, key fleet.Key, taken map[fleet.Key]*peerpb.Hosted, err error) {
 	if queued := s.jobs[job]; queued != nil {
 		queued.RequestedTasks--
@@ -217,7 +221,7 @@
 	}
 	a.RequestInFlight = false
 	if err != nil {
-		return // it stays until it is settled
+		return // stays tracked until it is settled
 	}
 	if hosted := taken[key]; hosted != nil {
 		s.setRemoteZoneLocked(a, hosted.Zone)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -22,79 +22,82 @@
 	"heronwick/wire"
 )
 
-// Scheduler schedules one controller's part of the cluster: its jobs, its
-// machines and its Move To Front list. Its methods are safe for concurrent use.
+// Scheduler schedules one controller's part of the cluster: its jobs and its machines,
+// including the move-to-front list of machines in use. Its methods are safe for
+// concurrent use.
 type Scheduler struct {
 	opts  Options
 	log   *slog.Logger
 	types map[string]*wire.MachineType // by name
-	ctx   context.Context              // of Run
-	group *errgroup.Group              // of Run: what spawn starts
-	wake  chan struct{}                // wakes the loop
-	// epochChecked is cleared when the epoch, an owner or a job may change the
-	// shard assignment: looking for that takes as long as the fleet is large.
+	ctx   context.Context              // context of Run
+	group *errgroup.Group              // runs the goroutines of Run and spawn
+	wake  chan struct{}                // wakes the scheduling loop
+	// epochChecked is false if the next pass must compare the scheduler's jobs and
+	// machines with their owners in the current epoch. A change of the epoch, of a
+	// machine's owner or of a job clears it. The time for the comparison grows with the
+	// fleet, so it is not made in every pass.
 	epochChecked atomic.Bool
 	summary      atomic.Pointer[summary]
 
-	// mu guards all that follows, and what the other packages keep for the
+	// mu guards all fields below and the state that other packages keep for the
 	// scheduler. No I/O is done while it is held.
 	mu sync.Mutex
 
-	// The epoch that it acts under, and what was taken over under it.
+	// The epoch under which the scheduler acts, and what it has adopted under it.
 	epoch              epochState
-	loaded             bool                 // the records have been read
-	rebuilding         bool                 // rebuild is under way
-	startVersion       uint64               // version of the epoch under which the records were first read
-	adoptedToken       uint64               // under this token, machines without an owner were adopted
-	preAdoptionReplies map[string]time.Time // when workers were last answered before their machines were adopted
+	loaded             bool                 // whether the records have been read
+	rebuilding         bool                 // whether rebuild is running
+	startVersion       uint64               // version of the epoch key when the records were first read
+	adoptedToken       uint64               // fencing token under which machines without an owner were last adopted
+	preAdoptionReplies map[string]time.Time // by machine that is not adopted yet, when its worker was last sent a reply
 	tokenSync          tokenSync
-	raisingToken       bool      // AdvanceEpoch is under way
-	raiseAttemptedAt   time.Time // when it was last called
-	leaderSince        time.Time // when this controller last began to lead
-	resignedAt         time.Time // when it last gave that up
+	raisingToken       bool      // whether AdvanceEpoch is running
+	raiseAttemptedAt   time.Time // when AdvanceEpoch was last called
+	leaderSince        time.Time // when this controller last became leader
+	resignedAt         time.Time // when it last resigned as leader
 
-	// Jobs and the tasks that wait.
+	// Jobs and pending tasks.
 	teams          *queue.Teams
-	jobs           map[string]*queue.Job // the scheduler's own
-	hostedJobs     map[string]*queue.Job // jobs of other controllers that have, or want, tasks here
-	resolvingJobs  map[string]bool       // jobs being looked up
+	jobs           map[string]*queue.Job // this scheduler's own jobs
+	hostedJobs     map[string]*queue.Job // jobs of other controllers that have tasks here or request room for them
+	resolvingJobs  map[string]bool       // jobs whose state is being read from the store
 	attemptNumbers fleet.AttemptNumbers
-	lastSerial     uint64    // numbers what must never be named alike under one token
-	fullProgressAt time.Time // when Progress last began to return all jobs
+	lastSerial     uint64    // last number used in a name that must be unique under one token
+	fullProgressAt time.Time // when Progress last began to return the progress of all jobs
 
-	// Machines: what may be on them, and where tasks are placed.
+	// Machines, the tasks that may be on them, and the placement of tasks.
 	machines          map[string]*machine
-	unknownTasksSince map[string]time.Time // since when machines have had tasks of unknown jobs
+	unknownTasksSince map[string]time.Time // by machine, when its worker first reported tasks of unknown jobs
 	detector          *detector.Detector
 	probeRate         *rate.Limiter
 	packer            *packing.Packer
 	victims           victimSummary
-	fetchDeferred     bool // a job of the turn that is being served leaves room to others
+	fetchDeferred     bool // a job among those being served leaves room to jobs whose image is cached there
 
-	// What is recorded in the store.
+	// Records in the store.
 	valueLimit  *checkpoint.ValueLimit
-	checkpoints *checkpoint.Writer // what may be on the machines
+	checkpoints *checkpoint.Writer // which tasks may be on the machines
 	completions *completion.Table  // which tasks are done
 
-	// Tasks on other controllers' machines, and theirs here.
-	remoteAttempts *remote.Attempts // of own jobs
+	// Attempts of this scheduler's jobs on other controllers' machines, and the reverse.
+	remoteAttempts *remote.Attempts // attempts of this scheduler's jobs
 	placeThrottle  remote.Throttle
-	deniedAttempts remote.DeniedAttempts // hosted here never more
+	deniedAttempts remote.DeniedAttempts // attempts that must not be hosted here any more
 
-	// Machines that change owner, are rented or returned.
-	transfers    ownership.Transfers // changes of owner that are not written yet
+	// Machines that change owner, are rented or are returned.
+	transfers    ownership.Transfers // changes of ownership that are not written yet
 	inventory    *autoscale.Inventory
-	planner      *autoscale.Planner // holds types and inventory, too
-	idleReserve  int                // how many machines may stay idle
+	planner      *autoscale.Planner // uses types and inventory
+	idleReserve  int                // how many machines are kept idle rather than returned
 	rebalancedAt time.Time          // when idle machines were last rebalanced
-	shedAt       time.Time          // when some were last handed over for want of processor time
+	shedAt       time.Time          // when idle machines were last handed over because this controller was overloaded
 	overloadedAt time.Time          // when this controller was last short of processor time
 
-	passes      passStats // since the load was last logged
+	passes      passStats // passes since the load was last logged
 	maintenance maintenance
 }
 
-// New returns a Scheduler for opts; Run starts it.
+// New returns a Scheduler with the given options. Run starts it.
 func New(opts Options) *Scheduler {
 	s := &Scheduler{
 		opts: opts, log: opts.Log, types: map[string]*wire.MachineType{}, wake: make(chan struct{}, 1),
@@ -125,7 +128,7 @@
 	return s
 }
 
-// Run runs the scheduler until ctx ends, and returns the first error of its
+// Run runs the scheduler until ctx is done, and returns the first error of its
 // goroutines.
 func (s *Scheduler) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
@@ -138,7 +141,7 @@
 	return group.Wait()
 }
 
-// spawn starts work that belongs to the scheduler and ends with it.
+// spawn runs f in a goroutine that Run waits for, with the context of Run.
 func (s *Scheduler) spawn(f func(ctx context.Context)) {
 	s.group.Go(func() error {
 		f(s.ctx)
@@ -146,7 +149,8 @@
 	})
 }
 
-// permitted reports whether the scheduler may act for its machines now.
+// permitted reports whether the scheduler may now act for its machines, that is, whether
+// it has a valid fencing token.
 func (s *Scheduler) permitted() bool {
 	_, ok := s.opts.Authority.FencingToken()
 	return ok
--- a/internal/scheduler/settle.go
+++ b/internal/scheduler/settle.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// Settling: the owner of a job asks the hosts of its remote attempts what became
-// of them. hostedattempts.go answers. See package remote.
+// Settling: the owner of a job requests the states of its remote attempts from their
+// hosts. The hosts' side is in hostedattempts.go. See package remote.
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 	"heronwick/wire"
 )
 
-// settleInterval is how often the hosts of remote attempts are asked.
+// settleInterval is how often the hosts of remote attempts are sent settle requests.
 const settleInterval = 400 * time.Millisecond
 
-// runSettling asks the hosts of remote attempts what became of them.
+// runSettling periodically sends settle requests to the hosts of remote attempts.
 func (s *Scheduler) runSettling(ctx context.Context) error {
 	return wait.Every(ctx, settleInterval, func() {
 		s.mu.Lock()
@@ -30,8 +30,8 @@
 	})
 }
 
-// settleRequestsLocked asks each host about the attempts that it may have, in as
-// many requests as it takes.
+// settleRequestsLocked returns the settle requests for each host, split into as many as
+// their size limit requires.
 func (s *Scheduler) settleRequestsLocked() map[string][]*peerpb.SettleRequest {
 	requests := remote.NewSettleRequests(s.opts.Node, s.epoch.Token)
 	for a := range s.remoteAttempts.All() {
@@ -43,23 +43,23 @@
 			recorded := a.Handled || s.jobs[a.Job] == nil
 			requests.Add(a, recorded)
 		} else if s.loaded && s.adoptedToken == s.epoch.Token {
-			// Its machine was taken over here, without it.
+			// This scheduler has adopted the machine, and the attempt was not on it.
 			s.untrackRemoteLocked(a)
 		}
 	}
 	return requests.ByHost()
 }
 
-// updateHostLocked makes the leader the host of an attempt whose host's
-// membership is over, also when that controller is back: it knows nothing of
-// what it had taken before, whoever adopted its machines does.
+// updateHostLocked makes the leader the host of an attempt if the membership of its host
+// has ended, even if that controller has rejoined: it no longer knows which attempts it
+// had accepted. The leader adopted its machines and does.
 func (s *Scheduler) updateHostLocked(a *remote.Attempt) {
 	if s.epoch.Members[a.Host].Since != a.HostSince {
 		a.Host, a.HostSince = s.epoch.Leader, s.epoch.Members[s.epoch.Leader].Since
 	}
 }
 
-// settle sends one settle request and takes its answer.
+// settle sends one settle request and applies the reply.
 func (s *Scheduler) settle(ctx context.Context, node string, req *peerpb.SettleRequest) {
 	reply, err := s.sendSettleRequest(ctx, node, req)
 	if err != nil || !reply.Ready {
@@ -82,15 +82,14 @@
 	}
 }
 
-// sendSettleRequest sends a settle request, which must be answered within
-// peerTimeout.
+// sendSettleRequest sends a settle request and waits up to peerTimeout for the answer.
 func (s *Scheduler) sendSettleRequest(ctx context.Context, node string, req *peerpb.SettleRequest) (*peerpb.SettleReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	return s.opts.Peers.Settle(ctx, node, req)
 }
 
-// applySettledLocked takes what its host answers about a remote attempt.
+// applySettledLocked applies what a host reports about a remote attempt.
 func (s *Scheduler) applySettledLocked(a *remote.Attempt, hosted *peerpb.Hosted, now time.Time) {
 	if !hosted.Known {
 		s.log.Info("task lost", "task", a.Task, "attempt", a.Attempt.Attempt, "host", a.Host)
