--- a/internal/scheduler/adoption.go
+++ b/internal/scheduler/adoption.go
@@ -9,23 +9,24 @@
 	"heronwick/internal/recovery"
 )
 
-// adoption collects, while records are placed, the machines to adopt.
+// adoption collects the machines to adopt while the records are restored.
 type adoption struct {
-	outcomes map[string]job.Outcome // of jobs that are over
-	gained   map[string]bool        // jobs that have become the scheduler's own
+	outcomes map[string]job.Outcome // of ended jobs, by job ID
+	gained   map[string]bool        // jobs that the scheduler newly owns, by ID
 	machines map[string]*adoptedMachine
 	now      time.Time
 }
 
-// adoptedMachine is a machine to adopt, with the buckets that hold its record.
+// adoptedMachine is a machine to adopt, with the buckets that contain its record.
 type adoptedMachine struct {
 	machine *fleet.Machine
 	buckets []*checkpoint.Bucket
 }
 
-// restoreRecordsLocked takes from the records what may be on machines: on those
-// that are adopted, and on others' as far as own jobs are concerned. It
-// returns how many machines were adopted.
+// restoreRecordsLocked restores from the records which attempts may be on which
+// machines: all attempts on the machines to adopt, and the attempts of this
+// scheduler's jobs on the machines of other controllers. It returns the number of
+// machines adopted.
 func (s *Scheduler) restoreRecordsLocked(records recovery.Records, adopt []string, gained map[string]bool, now time.Time) int {
 	s.adoptHostedLocked(gained)
 	adopting := &adoption{outcomes: records.Outcomes, gained: gained, machines: map[string]*adoptedMachine{}, now: now}
@@ -46,8 +47,8 @@
 	return len(adopting.machines)
 }
 
-// adoptHostedLocked makes own attempts of those that the scheduler's machines host and
-// whose jobs it has gained.
+// adoptHostedLocked turns hosted attempts on the scheduler's machines into its own
+// attempts if the scheduler has gained their jobs.
 func (s *Scheduler) adoptHostedLocked(gained map[string]bool) {
 	for _, m := range s.machines {
 		for _, a := range m.Attempts.All() {
@@ -62,16 +63,18 @@
 	}
 }
 
-// restoreRecordLocked takes a machine's record from a bucket: one to adopt is collected,
-// of another's what may be on it of own jobs is tracked. bucket is the bucket, if the
-// scheduler takes it over.
+// restoreRecordLocked processes one machine's record from a bucket. A machine to
+// adopt is added to adopting. If another controller owns the machine, the attempts of
+// this scheduler's jobs on it are tracked as remote attempts. bucket is nil unless
+// the scheduler takes the bucket over.
 func (s *Scheduler) restoreRecordLocked(adopting *adoption, name string, record fleet.Record, bucket *checkpoint.Bucket) {
 	if s.machines[name] != nil || s.isReleasedLocked(name) {
 		return
 	}
-	// By this epoch, also while the next one begins: a machine that is ours only by
-	// that one, without the bucket that holds its record, had that record removed as
-	// nobody's (ran_twice).
+	// Use the scheduler's epoch, even if the next one has begun. A machine that belongs
+	// to this controller only in the next epoch would be adopted without the bucket that
+	// contains its record, and the record would be removed as ownerless. That caused
+	// ran_twice violations.
 	host := s.opts.Authority.HostOf(&s.epoch.Epoch, name)
 	switch {
 	case host != s.opts.Node:
@@ -81,7 +84,7 @@
 	}
 }
 
-// add collects a machine with what a record says of it, which may be one of several.
+// add adds a machine to adopt, or another record of a machine that was added before.
 func (a *adoption) add(name string, record fleet.Record, token uint64, bucket *checkpoint.Bucket) {
 	adopted := a.machines[name]
 	if adopted == nil {
@@ -99,10 +102,11 @@
 	}
 }
 
-// adoptBucketLocked takes over a bucket whose owner's membership is over: the leader
-// does, as it does with the machines. It returns nil for another's bucket, and
-// for one that is this scheduler's already: what that says of a machine that is
-// only now taken is from before the machine was handed over, idle.
+// adoptBucketLocked takes over a bucket whose owner's membership has ended. Only the
+// leader does so, since it also adopts that owner's machines. It returns nil for a
+// bucket of a current member, and for a bucket that this scheduler already has: the
+// record there of a machine that is only now adopted predates the handover of that
+// machine, which was idle then.
 func (s *Scheduler) adoptBucketLocked(stored recovery.Bucket) *checkpoint.Bucket {
 	if s.checkpoints.Bucket(stored.Key) != nil {
 		return nil
@@ -114,10 +118,11 @@
 	return s.checkpoints.AdoptBucket(stored.Key, stored.Version, stored.Size)
 }
 
-// trackRecordLocked tracks what another's machine may hold of own jobs.
+// trackRecordLocked tracks the attempts of this scheduler's jobs that may be on
+// another controller's machine.
 func (s *Scheduler) trackRecordLocked(adopting *adoption, fleetMachine *fleet.Machine, host string) {
 	for _, a := range fleetMachine.Attempts.All() {
-		if outcome, over := adopting.outcomes[a.Job]; over && s.epoch.OwnerOf(outcome.Team, a.Job) == s.opts.Node {
+		if outcome, ended := adopting.outcomes[a.Job]; ended && s.epoch.OwnerOf(outcome.Team, a.Job) == s.opts.Node {
 			a.Team, a.Size, a.Sized = outcome.Team, outcomeTaskSize(outcome), true
 			s.trackRemoteLocked(a, host, fleetMachine.Zone)
 		} else if queued := s.jobs[a.Job]; queued != nil && adopting.gained[a.Job] {
@@ -127,9 +132,9 @@
 	}
 }
 
-// adoptMachineLocked takes a machine with what the records say may be on it.
-// buckets hold those: the first is its own from now on. outcomes are those of the jobs
-// that are over.
+// adoptMachineLocked adds a machine with the attempts that its records list. buckets
+// contain these records; the first one becomes the machine's own bucket. outcomes are
+// the outcomes of ended jobs.
 func (s *Scheduler) adoptMachineLocked(
 	adopted *fleet.Machine, buckets []*checkpoint.Bucket, outcomes map[string]job.Outcome, now time.Time,
 ) {
@@ -137,15 +142,15 @@
 	m := s.addMachineLocked(adopted, now)
 	m.LastReply = answered
 	s.checkpoints.AdoptMachine(&m.record, buckets)
-	over := map[string]job.Outcome{}
+	ended := map[string]job.Outcome{}
 	for _, a := range m.Attempts.All() {
 		if outcome, ok := outcomes[a.Job]; ok {
-			over[a.Job] = outcome
+			ended[a.Job] = outcome
 			continue
 		}
 		s.adoptAttemptLocked(m, a)
 	}
-	for id, outcome := range over {
+	for id, outcome := range ended {
 		s.stopTasksOnLocked(m, id, outcome, now.Add(2*s.opts.Settings.HeartbeatInterval))
 	}
 	s.queueTokenSyncLocked(m)
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// autoscaleInterval is how often it is decided whether to rent or return machines.
+	// autoscaleInterval is how often the leader decides whether to rent or return
+	// machines.
 	autoscaleInterval = 500 * time.Millisecond
-	// cloudListInterval is how often the cloud's list is read.
+	// cloudListInterval is how often the leader reads the cloud's list of machines.
 	cloudListInterval = 5 * time.Second
 )
 
-// runAutoscaling reads the cloud's list of machines, rents and returns. Only the leader
-// does, so that the cloud's limit on requests holds.
+// runAutoscaling reads the cloud's list of machines, rents machines and returns them.
+// Only the leader does this, so that the cloud's limit on the request rate is kept.
 func (s *Scheduler) runAutoscaling(ctx context.Context) error {
 	renter := s.renter()
 	var listed time.Time
@@ -40,18 +41,18 @@
 	})
 }
 
-// readMachineList reads the cloud's list and takes it.
+// readMachineList reads the cloud's list of machines and applies it.
 func (s *Scheduler) readMachineList(ctx context.Context) {
 	machines, err := s.opts.Cloud.List(ctx)
 	if err != nil {
-		s.log.Info("listing machines failed", "err", err)
+		s.log.Info("failed to list the cloud's machines", "err", err)
 		return
 	}
 	s.applyMachineList(machines, time.Now())
 }
 
-// applyMachineList takes the cloud's list. It lags: a machine that is missing may be
-// up, and one that is listed may be gone.
+// applyMachineList applies the cloud's list of machines. The list lags behind: a
+// machine that is missing from it may be running, and a machine on it may be gone.
 func (s *Scheduler) applyMachineList(machines []wire.Machine, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,7 +63,7 @@
 		}
 		if node, owned := s.opts.Authority.HeartbeatTarget(listed.ID); owned && node != s.opts.Node {
 			s.inventory.Joined(listed.ID)
-			continue // its owner looks after it
+			continue // its owner manages it
 		}
 		age := time.Duration(listed.AgeS * float64(time.Second))
 		if listed.State == wire.MachineFailed {
@@ -74,15 +75,15 @@
 		}
 		s.inventory.Expect(listed.ID, placement.Pool{Type: listed.Type, Zone: listed.Zone, Spot: listed.Spot}, now.Add(-age), now)
 	}
-	// A list lags, and by up to double its usual lag.
+	// The list can lag by up to twice its usual lag.
 	overdue := s.planner.Overdue(s.opts.Settings.CloudListLag, 2*s.opts.Settings.CloudListLag+s.detector.DeadAfter(), now)
 	s.reclaimLocked(failed, autoscale.ReasonFailed)
 	s.reclaimLocked(overdue, autoscale.ReasonNeverBooted)
 	s.reclaimLocked(s.abandonedReturnsLocked(), autoscale.ReasonRecordedBefore)
 }
 
-// returnIdleLocked returns machines that have been idle for long, if more are
-// idle than are wanted in reserve.
+// returnIdleLocked returns machines that have been idle for a long time, if there are
+// more idle machines than the reserve needs.
 func (s *Scheduler) returnIdleLocked(now time.Time) {
 	if !s.loaded || !s.permitted() {
 		return
--- a/internal/scheduler/checkpoints.go
+++ b/internal/scheduler/checkpoints.go
@@ -8,8 +8,8 @@
 	"heronwick/internal/job"
 )
 
-// newCheckpointWriter returns the Writer that records what may be on the scheduler's
-// machines, under the scheduler's lock.
+// newCheckpointWriter returns the Writer that records which attempts may be on the
+// scheduler's machines. It shares the scheduler's lock.
 func (s *Scheduler) newCheckpointWriter() *checkpoint.Writer {
 	return checkpoint.NewWriter(checkpoint.Options{
 		Node: s.opts.Node, Settings: s.opts.Settings, Limit: s.valueLimit,
@@ -19,10 +19,10 @@
 	})
 }
 
-// recordPlacementsLocked records new placements.
+// recordPlacementsLocked writes new placements to the store.
 func (s *Scheduler) recordPlacementsLocked() {
 	if !s.currentLocked() {
-		return // would only fail, and failures cost writes too
+		return // the write would fail, and failed writes count against the write limit too
 	}
 	var pending []*checkpoint.Machine
 	for _, m := range s.machines {
@@ -33,21 +33,24 @@
 	s.checkpoints.Commit(pending)
 }
 
-// tidyInterval is how often buckets are tidied: nobody waits for it.
+// tidyInterval is how often outdated records are removed from the buckets. Nothing
+// waits for it.
 const tidyInterval = 10 * time.Second
 
-// tidyRecordsLocked removes from the store what it holds of machines that are no longer here.
+// tidyRecordsLocked removes the records of machines that the scheduler no longer owns
+// from the store.
 func (s *Scheduler) tidyRecordsLocked(now time.Time) {
 	if s.loaded && s.currentLocked() {
 		s.checkpoints.Tidy(now)
 	}
 }
 
-// checkpointScheduler is what the Writer of machines' records sees of the scheduler.
+// checkpointScheduler implements checkpoint.Scheduler, the scheduler as seen by the
+// Writer of machine records.
 type checkpointScheduler struct{ recordWriter }
 
-// owned returns the scheduler's machine that m is part of, nil if it is not the
-// scheduler's any more.
+// owned returns the scheduler's machine that m is part of, or nil if the scheduler no
+// longer owns it.
 func (s checkpointScheduler) owned(m *checkpoint.Machine) *machine {
 	if owned := s.machines[m.Name]; owned != nil && &owned.record == m {
 		return owned
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -11,37 +11,38 @@
 	"heronwick/wire"
 )
 
-// epochState is the epoch that the scheduler acts under: who leads and who
-// owns which jobs and machines. All that it writes is fenced by condition, a
-// compare-and-swap on the epoch's key, so that nothing decided under one epoch
-// is recorded under another.
+// epochState is the epoch under which the scheduler acts. It determines the leader
+// and the owners of jobs and machines. All writes are fenced by condition, a
+// compare-and-swap on the epoch's key, so that no decision made under one epoch is
+// recorded under another.
 type epochState struct {
 	cluster.Epoch
 	condition wire.Condition
-	// assigned is the condition, and assignedToken the token, when the shards were
-	// last assigned anew; the fencing token may have been raised since, which changes
-	// no owner.
+	// assigned and assignedToken are the condition and the token of the epoch with the
+	// last new shard assignment. The fencing token may have been raised since, which
+	// changes no owner.
 	assigned      wire.Condition
 	assignedToken uint64
-	raisedAt      time.Time // when the token last rose
+	raisedAt      time.Time // when the token was last raised
 }
 
-// sameAssignment reports whether two epochs assign the shards alike.
+// sameAssignment reports whether two epochs have the same shard assignment.
 func sameAssignment(a, b *cluster.Epoch) bool {
 	return a.Leader == b.Leader && a.Incarnation == b.Incarnation && maps.Equal(a.Members, b.Members) && maps.Equal(a.Teams, b.Teams)
 }
 
-// ownsJobLocked reports whether a job is the scheduler's own by its epoch.
+// ownsJobLocked reports whether the scheduler owns a job in its epoch.
 func (s *Scheduler) ownsJobLocked(j *wire.Job) bool {
 	return s.epoch.OwnerOf(j.Team, j.ID) == s.opts.Node
 }
 
-// leadsLocked reports whether this controller leads, as far as the scheduler has
-// followed the epoch.
+// leadsLocked reports whether this controller leads in the scheduler's epoch, which
+// may be older than the cluster's.
 func (s *Scheduler) leadsLocked() bool { return s.loaded && s.epoch.Leader == s.opts.Node }
 
-// followEpochLocked follows the epoch and the owners of machines: what is the
-// scheduler's now is rebuilt, what is no longer its own is let go.
+// followEpochLocked compares the scheduler's jobs and machines with the current epoch
+// and machine ownership. On a difference it starts a rebuild, which restores what the
+// scheduler now owns and drops what it no longer owns.
 func (s *Scheduler) followEpochLocked() {
 	if s.rebuilding {
 		return
@@ -50,13 +51,13 @@
 	epoch := &view.Epoch
 	owners := s.opts.Authority.Ownership()
 	if !owners.Fresh {
-		return // an owner's write of the epoch before may be missing; the watch brings it
+		return // a transfer of the previous epoch may be missing; the watch will deliver it
 	}
 	if s.loaded && epoch.Token != s.epoch.Token && sameAssignment(epoch, &s.epoch.Epoch) {
 		s.applyRaisedTokenLocked(view)
 	}
 	if epoch.Leader != s.opts.Node {
-		owners.Orphans = nil // the leader's
+		owners.Orphans = nil // only the leader adopts them
 	}
 	adopt := s.machinesToAdoptLocked(owners)
 	gained := s.gainedJobsLocked(epoch)
@@ -67,7 +68,8 @@
 	s.spawn(func(ctx context.Context) { s.rebuild(ctx, view, gained, adopt) })
 }
 
-// applyRaisedTokenLocked takes an epoch in which only the fencing token has risen.
+// applyRaisedTokenLocked applies an epoch that differs from the scheduler's epoch
+// only by a higher fencing token.
 func (s *Scheduler) applyRaisedTokenLocked(view cluster.View) {
 	if s.adoptedToken == s.epoch.Token {
 		s.adoptedToken = view.Epoch.Token
@@ -75,15 +77,15 @@
 	s.epoch.Epoch, s.epoch.condition, s.epoch.raisedAt = view.Epoch, view.Condition, time.Now()
 }
 
-// machinesToAdoptLocked returns the machines, of the scheduler's and of those without
-// an owner, of whose tasks only the records tell. Those that were handed over to it
-// idle are taken at once.
+// machinesToAdoptLocked returns the machines, owned by this scheduler or without an
+// owner, whose tasks are known from the records only. Machines that were handed over
+// to this scheduler while idle are added at once.
 func (s *Scheduler) machinesToAdoptLocked(owners cluster.Ownership) (adopt []string) {
 	for name, owner := range owners.Owned {
 		switch {
 		case s.machines[name] != nil || s.transfers.Moving(name) || s.inventory.IsReleased(name):
 		case owner.Machine == nil || !s.loaded || owner.Version <= s.startVersion:
-			adopt = append(adopt, name) // it may have had tasks since that was written
+			adopt = append(adopt, name) // it may have received tasks since the transfer was written
 		default:
 			s.addHandedOverLocked(name, owner)
 		}
@@ -96,14 +98,14 @@
 	return adopt
 }
 
-// gainedJobsLocked returns the active jobs that are the scheduler's by an epoch and not
-// yet in its queue. Those that surely have no tasks yet are queued at once.
+// gainedJobsLocked returns the active jobs that the scheduler owns in an epoch and
+// has not queued yet. Jobs that certainly have no tasks yet are queued at once.
 func (s *Scheduler) gainedJobsLocked(epoch *cluster.Epoch) (gained []*job.Record) {
 	for _, record := range s.opts.Jobs.AllActive() {
 		switch {
 		case epoch.OwnerOf(record.Job.Team, record.Job.ID) != s.opts.Node || s.jobs[record.Job.ID] != nil:
 		case epoch.Token == s.epoch.Token && s.acceptedInEpochLocked(record):
-			s.addJobLocked(record) // JobAdded is about to be called for it
+			s.addJobLocked(record) // JobAdded will be called for it shortly
 		default:
 			gained = append(gained, record)
 		}
@@ -111,20 +113,20 @@
 	return gained
 }
 
-// acceptedInEpochLocked reports whether one of the scheduler's jobs was accepted under the
-// shard assignment that it goes by: nobody else can have placed tasks of it, so
-// the records need not be read for it.
+// acceptedInEpochLocked reports whether one of the scheduler's jobs was accepted
+// under its current shard assignment. In that case no other scheduler can have placed
+// tasks of the job, so the records need not be read for it.
 func (s *Scheduler) acceptedInEpochLocked(record *job.Record) bool {
 	return s.loaded && record.Version > s.epoch.assigned.Version
 }
 
-// becomesLeaderLocked reports whether this controller leads the epoch, and did not
-// lead the epoch before.
+// becomesLeaderLocked reports whether this controller leads in an epoch but not in
+// the scheduler's previous one.
 func (s *Scheduler) becomesLeaderLocked(epoch *cluster.Epoch) bool {
 	return epoch.Leader == s.opts.Node && s.epoch.Leader != s.opts.Node
 }
 
-// setEpochLocked makes an epoch the one that the scheduler acts under.
+// setEpochLocked makes an epoch the one under which the scheduler acts.
 func (s *Scheduler) setEpochLocked(view cluster.View) {
 	if s.becomesLeaderLocked(&view.Epoch) {
 		s.leaderSince = time.Now()
@@ -135,9 +137,9 @@
 	s.epoch.Epoch, s.epoch.condition, s.epoch.raisedAt = view.Epoch, view.Condition, time.Now()
 }
 
-// dropLostJobsLocked lets go of jobs that now belong to other schedulers. Their tasks on
-// this one's machines are hosted for those from now on; what is not recorded yet
-// never starts.
+// dropLostJobsLocked removes the jobs that other schedulers own in an epoch. Their
+// attempts on this scheduler's machines become hosted attempts; an attempt that is
+// not recorded yet never starts.
 func (s *Scheduler) dropLostJobsLocked(epoch *cluster.Epoch) {
 	lost := map[string]bool{}
 	for id, queued := range s.jobs {
@@ -147,7 +149,7 @@
 		lost[id] = true
 		delete(s.jobs, id)
 		for a := range queued.Done.Unwritten() {
-			a.Hosted = true // its new owner settles it
+			a.Hosted = true // the job's new owner settles it
 		}
 	}
 	if len(lost) == 0 {
@@ -168,8 +170,8 @@
 	}
 }
 
-// fenceLocked is the condition on all writes: the epoch that the scheduler acts
-// under.
+// fenceLocked returns the condition on all writes: the epoch under which the
+// scheduler acts must be the current one.
 func (s *Scheduler) fenceLocked() state.FencingCondition {
 	fence := s.epoch.condition
 	return state.FencingCondition{Condition: fence, IsCurrent: func() bool {
@@ -177,13 +179,15 @@
 	}}
 }
 
-// currentLocked reports whether the epoch that the scheduler acts under is current.
+// currentLocked reports whether the epoch under which the scheduler acts is the
+// current one.
 func (s *Scheduler) currentLocked() bool { return s.fenceLocked().IsCurrent() }
 
-// raiseTokenInterval is how often the fencing token may be raised.
+// raiseTokenInterval is the minimum time between two attempts to raise the fencing
+// token.
 const raiseTokenInterval = 2 * time.Second
 
-// raiseTokenLocked raises the fencing token, at most every raiseTokenInterval.
+// raiseTokenLocked raises the fencing token, at most once per raiseTokenInterval.
 func (s *Scheduler) raiseTokenLocked(now time.Time) {
 	if s.raisingToken || now.Sub(s.raiseAttemptedAt) <= raiseTokenInterval {
 		return
@@ -191,7 +195,7 @@
 	s.raisingToken, s.raiseAttemptedAt = true, now
 	s.spawn(func(ctx context.Context) {
 		if err := s.opts.Authority.AdvanceEpoch(ctx); err != nil {
-			s.log.Info("raising the token failed", "err", err)
+			s.log.Info("failed to raise the fencing token", "err", err)
 		}
 		s.mu.Lock()
 		s.raisingToken = false
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -8,8 +8,8 @@
 	"heronwick/wire"
 )
 
-// HandleHeartbeat takes a worker's heartbeat. It returns nil if this scheduler has no
-// right to answer it.
+// HandleHeartbeat applies a worker's heartbeat and returns the reply, or nil if this
+// scheduler must not answer the worker.
 func (s *Scheduler) HandleHeartbeat(heartbeat *wire.Heartbeat) *wire.HeartbeatReply {
 	now := time.Now()
 	s.mu.Lock()
@@ -19,7 +19,7 @@
 		return nil
 	}
 	if node, owned := s.opts.Authority.HeartbeatTarget(heartbeat.Machine); owned && node != s.opts.Node {
-		return nil // handed over since, whatever this scheduler has not followed yet
+		return nil // handed over, though this scheduler may not have applied that yet
 	}
 	m, adopting := s.machines[heartbeat.Machine], false
 	if m == nil {
@@ -32,14 +32,14 @@
 	case adopting:
 		return s.replyUnadoptedLocked(heartbeat, reply, now)
 	default:
-		// Answering a machine that is another's would renew a lease that its owner
-		// counts as expired.
+		// Answering the worker of another controller's machine would renew a lease that the
+		// machine's owner considers expired.
 		return nil
 	}
 }
 
-// replyLocked takes a heartbeat of one of the scheduler's machines and completes the
-// reply with what the worker is commanded. It returns nil if the worker's lease must
+// replyLocked applies a heartbeat of one of the scheduler's machines and adds the
+// commands for the worker to the reply. It returns nil if the worker's lease must
 // expire.
 func (s *Scheduler) replyLocked(m *machine, heartbeat *wire.Heartbeat, reply *wire.HeartbeatReply, now time.Time) *wire.HeartbeatReply {
 	fresh := s.applyHeartbeatLocked(m, heartbeat)
@@ -52,17 +52,18 @@
 		reply.Commands = append(reply.Commands, m.Reply()...)
 		return reply
 	}
-	// Late or repeated: its reply will be dropped, and must not carry commands meant
-	// for the worker as it is now. Or the worker has started anew and counts from the
-	// beginning: a probe shows which.
+	// The heartbeat is late or a duplicate: the worker drops the reply, which must not
+	// carry commands that are meant for the worker's current state. Or the worker has
+	// restarted, and its sequence numbers start over. A probe shows which.
 	if !m.ProbedRecently(now) {
 		s.probeLocked(m, now)
 	}
 	return reply
 }
 
-// replyUnadoptedLocked completes the reply to a worker whose machine is being adopted:
-// it keeps its lease meanwhile. It returns nil if the lease must expire.
+// replyUnadoptedLocked completes the reply to a worker whose machine is being
+// adopted. The reply keeps the worker's lease alive meanwhile. It returns nil if the
+// lease must expire.
 func (s *Scheduler) replyUnadoptedLocked(heartbeat *wire.Heartbeat, reply *wire.HeartbeatReply, now time.Time) *wire.HeartbeatReply {
 	if s.unknownTasksPastGraceLocked(heartbeat, now) {
 		return nil
@@ -72,13 +73,13 @@
 	return reply
 }
 
-// admitMachineLocked decides about a worker whose machine this scheduler does not have:
-// one just handed over to it, or one that nobody owns. adopting tells that its machine
-// is this scheduler's and will be taken once the records are read.
+// admitMachineLocked handles a worker whose machine this scheduler does not have: the
+// machine was just handed over, or no controller owns it. adopting reports that the
+// machine belongs to this scheduler and is added once the records are read.
 func (s *Scheduler) admitMachineLocked(heartbeat *wire.Heartbeat, now time.Time) (m *machine, adopting bool) {
 	name := heartbeat.Machine
 	if s.isReleasedLocked(name) {
-		return nil, false // sent before its machine was returned
+		return nil, false // the heartbeat was sent before the machine was returned
 	}
 	node, owned := s.opts.Authority.HeartbeatTarget(name)
 	if node != s.opts.Node || s.transfers.Moving(name) {
@@ -86,24 +87,26 @@
 	}
 	_, named := s.opts.Authority.OwnerOf(name)
 	if owned || named || !s.opts.Authority.Fresh() || !s.loaded || s.adoptedToken != s.opts.Authority.Token() {
-		// Handed over a moment ago, or perhaps one with tasks whose owner has gone.
+		// The machine was handed over a moment ago, or it may have tasks and its owner is
+		// gone.
 		s.recheckEpoch()
 		return nil, true
 	}
-	// A machine that the records do not name never had anything placed on it.
+	// No task was ever placed on a machine that the records do not name.
 	s.log.Info("machine joins", "machine", name, "type", heartbeat.Type, "zone", heartbeat.Zone,
 		"spot", heartbeat.Spot, "incarnation", heartbeat.Incarnation)
 	return s.addMachineLocked(fleet.NewMachine(name), now), false
 }
 
-// unknownTasksGrace is how long a worker is answered though it has tasks of jobs of
-// which nothing is known.
+// unknownTasksGrace is how long a worker with tasks of unknown jobs is still
+// answered.
 func (s *Scheduler) unknownTasksGrace() time.Duration { return s.opts.Settings.LeaseDuration / 4 }
 
-// unknownTasksPastGraceLocked notes whether a worker has tasks of unknown jobs, and tells
-// whether it has had some for so long that its lease must expire. Such a job may be
-// over: cancelled before this controller read the jobs, while the key-value store,
-// which would tell, is out for longer than the tasks may stay.
+// unknownTasksPastGraceLocked keeps track of whether a worker has tasks of unknown
+// jobs, and reports whether it has had such tasks for so long that its lease must
+// expire. Such a job may have ended: it may have been cancelled before this
+// controller read the jobs, and the key-value store, which has its state, may be
+// unavailable for longer than the tasks are allowed to run.
 func (s *Scheduler) unknownTasksPastGraceLocked(heartbeat *wire.Heartbeat, now time.Time) bool {
 	unknown := s.hasUnknownTasksLocked(heartbeat)
 	since, noted := s.unknownTasksSince[heartbeat.Machine]
@@ -118,8 +121,9 @@
 	return false
 }
 
-// hasUnknownTasksLocked reports whether a heartbeat shows tasks, not yet being stopped,
-// of jobs that are neither active nor known to be over.
+// hasUnknownTasksLocked reports whether a heartbeat lists tasks of jobs that are
+// neither active nor known to have ended. Tasks that are already being stopped do not
+// count.
 func (s *Scheduler) hasUnknownTasksLocked(heartbeat *wire.Heartbeat) bool {
 	m := s.machines[heartbeat.Machine]
 	return slices.ContainsFunc(heartbeat.Tasks, func(t wire.TaskStatus) bool {
@@ -136,8 +140,9 @@
 	})
 }
 
-// stopCommandsForEndedJobsLocked stops, of the tasks that a heartbeat shows, those whose jobs
-// are over: their machine's records may not be readable for long.
+// stopCommandsForEndedJobsLocked returns the commands to stop the tasks in a
+// heartbeat whose jobs have ended. The stops do not wait for the records of the
+// machine, which may stay unreadable for a long time.
 func (s *Scheduler) stopCommandsForEndedJobsLocked(heartbeat *wire.Heartbeat) []wire.Command {
 	stops := []wire.Command{}
 	for _, t := range heartbeat.Tasks {
@@ -150,8 +155,9 @@
 	return stops
 }
 
-// applyHeartbeatLocked takes a heartbeat, also one that answers a probe or a direct command.
-// It reports whether that was news.
+// applyHeartbeatLocked applies a heartbeat, which may also be the answer to a probe
+// or a direct command. It reports whether the heartbeat was newer than the known
+// state.
 func (s *Scheduler) applyHeartbeatLocked(m *machine, heartbeat *wire.Heartbeat) bool {
 	if s.machines[m.Name] != m || heartbeat.Machine != m.Name {
 		return false
@@ -175,8 +181,8 @@
 	return true
 }
 
-// handleEventsLocked takes what a heartbeat, or a proof that a worker is gone, has
-// changed of the attempts on a machine.
+// handleEventsLocked applies the changes to attempts on a machine that follow from a
+// heartbeat, or from proof that the worker is gone.
 func (s *Scheduler) handleEventsLocked(m *machine, events []fleet.Event) {
 	for _, e := range events {
 		a := e.Attempt
@@ -187,7 +193,7 @@
 				s.handleAttemptExitLocked(m, a)
 			}
 		case fleet.Started:
-			s.log.Debug("started", "task", a.Task, "machine", m.Name, "after", time.Since(a.Placed))
+			s.log.Debug("started", "task", a.Task, "machine", m.Name, "since_placed", time.Since(a.Placed))
 			if queued := s.jobOf(a.Job); queued != nil && a.Service {
 				queued.Succeeded = true
 			}
@@ -196,7 +202,7 @@
 		case fleet.Lost:
 			log := s.log.Info
 			if a.Restored {
-				log = s.log.Debug // most of those had ended before the takeover
+				log = s.log.Debug // most restored attempts had ended before the takeover
 			}
 			log("task lost", "task", a.Task, "attempt", a.Attempt, "machine", m.Name)
 			s.uncountAttemptLocked(a)
--- a/internal/scheduler/loadshedding.go
+++ b/internal/scheduler/loadshedding.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// Load shedding. After a takeover the leader owns all machines, and their
-// heartbeats alone may take more processor time than a small controller has,
-// while the others have nothing to do. So a scheduler that is short of it hands
-// idle machines over to other controllers, which place its tasks there when it
-// sends them placement requests.
+// Load shedding. After a takeover the leader owns all machines. Their heartbeats
+// alone may take more processor time than a small controller has, while the other
+// controllers are idle. A scheduler that is short of processor time therefore hands
+// idle machines over to other controllers. These place its tasks on the machines when
+// it sends them placement requests.
 
 const (
-	// shedInterval is how often a scheduler that is short of processor time hands
-	// idle machines over.
+	// shedInterval is how often a scheduler that is short of processor time hands over
+	// idle machines.
 	shedInterval = 5 * time.Second
-	// overloadHoldTime is how long a shortage counts: idle machines that went back
-	// and forth with each short one would be nobody's for most of the time.
+	// overloadHoldTime is how long a controller counts as overloaded after a shortage of
+	// processor time. If idle machines changed owner at each short shortage, they would
+	// be in transfer for most of the time, owned by no controller.
 	overloadHoldTime = time.Minute
 )
 
-// overloadedLocked reports whether this controller was short of processor time
-// lately.
+// overloadedLocked reports whether this controller was recently short of processor
+// time.
 func (s *Scheduler) overloadedLocked(now time.Time) bool {
 	if s.detector.Busy(time.Now()) {
 		s.overloadedAt = now
@@ -26,9 +27,10 @@
 	return now.Sub(s.overloadedAt) < overloadHoldTime
 }
 
-// shedIdleMachinesLocked hands idle machines over to the controller with the
-// fewest, if this one is short of processor time and that one is not: half of
-// those it can spare, until both have as many.
+// shedIdleMachinesLocked hands idle machines over to the controller with the fewest
+// machines, if this controller is short of processor time and that one is not. It
+// hands over at most half of the machines that it can spare, and no more than makes
+// both own equally many.
 func (s *Scheduler) shedIdleMachinesLocked(now time.Time) {
 	if !s.loaded || !s.permitted() || !s.overloadedLocked(now) || now.Sub(s.shedAt) < shedInterval {
 		return
@@ -38,14 +40,15 @@
 	if surplus <= 0 {
 		return
 	}
-	// Those idle for the longest: the others' images are the most likely to be wanted.
+	// Hand over the machines that were idle for longest: the images on the others are
+	// more likely to be needed again.
 	idle := s.handoverCandidatesLocked(now)
 	s.handOverLocked(idle[:min(surplus, len(idle)/2)], node)
 }
 
-// shedTargetLocked returns the controller with the fewest machines, and how
-// many of this one's would leave both with as many; none if every such
-// controller is itself short of processor time.
+// shedTargetLocked returns the controller with the fewest machines, and how many
+// machines to hand over to it so that both own equally many. surplus is 0 if every
+// controller with fewer machines is itself short of processor time.
 func (s *Scheduler) shedTargetLocked() (node string, surplus int) {
 	for candidate, load := range s.opts.Authority.PeerLoads() {
 		if n := (len(s.machines) - load.Machines) / 2; !load.Overloaded && (n > surplus || n == surplus && candidate < node) {
