--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -10,34 +10,35 @@
 	"heronwick/internal/packing"
 )
 
-// machine is a machine that the scheduler owns, with what the packages that
-// judge, record and fill it keep of it, and the scheduler's decisions about it.
+// machine is a machine that the scheduler owns: the state that the detector,
+// checkpoint and packing packages keep for it, and the scheduler's own decisions
+// about it.
 type machine struct {
 	detector.Worker
-	record  checkpoint.Machine // what is recorded of it
-	packing *packing.Machine   // what is known of its room
+	record  checkpoint.Machine // its record in the store
+	packing *packing.Machine   // its free capacity
 
-	commandPending bool // a direct command is under way
-	commandQueued  bool // another is to follow it
+	commandPending bool // a direct command is in flight
+	commandQueued  bool // another direct command is sent after it
 
 	idleSince      time.Time       // when its last task ended
-	placeNotBefore time.Time       // no placements before then: its worker has refused a start
-	failedJobs     map[string]bool // jobs that failed on it, since a task on it last succeeded
-	quarantined    bool            // fails what it starts: no new placements
+	placeNotBefore time.Time       // no placements before this time, since its worker refused a start
+	failedJobs     map[string]bool // jobs that have failed on it since a task last succeeded there
+	quarantined    bool            // several jobs failed on it: no new placements
 
-	returning       bool      // it is being returned to the cloud
-	returnIntent    bool      // an owner before has recorded that it is to be returned
-	returnNotBefore time.Time // no return is tried before then: the last one could not be recorded
+	returning       bool      // the return to the cloud is in progress
+	returnIntent    bool      // a previous owner recorded the intent to return it
+	returnNotBefore time.Time // no return before this time, since the last one could not be recorded
 
-	// syncToken is the fencing token under which the worker must have sent a
-	// heartbeat for the machine to count as synced.
+	// The machine counts as synced once its worker has sent a heartbeat under the
+	// fencing token syncToken or a higher one.
 	syncToken uint64
-	// fenceToken: no other controller answers the worker once the epochs before this
-	// token are fenced; 0: none does.
+	// Other controllers may answer the worker until all epochs before fenceToken are
+	// fenced. 0 means that no other controller answers it.
 	fenceToken uint64
 }
 
-// addMachineLocked makes a machine one of the scheduler's.
+// addMachineLocked adds a machine to those of the scheduler.
 func (s *Scheduler) addMachineLocked(fleetMachine *fleet.Machine, now time.Time) *machine {
 	m := &machine{
 		Worker: detector.NewWorker(fleetMachine, now), record: checkpoint.Machine{Machine: fleetMachine},
@@ -53,8 +54,8 @@
 	return m
 }
 
-// machineParts yields the part of each of the scheduler's machines that one of its
-// packages keeps, in no order.
+// machineParts returns a sequence, in no particular order, of the part of each of the
+// scheduler's machines that one other package maintains.
 func machineParts[Part any](s *Scheduler, part func(m *machine) *Part) iter.Seq[*Part] {
 	return func(yield func(*Part) bool) {
 		for _, m := range s.machines {
@@ -66,10 +67,11 @@
 }
 
 // synced reports whether the worker has sent a heartbeat under the scheduler's
-// fencing token: then all that is on the machine is known.
+// fencing token. Only then are all attempts on the machine known.
 func (s *Scheduler) synced(m *machine) bool { return m.HeartbeatSeen && m.FencingToken >= m.syncToken }
 
-// acceptsLocked reports whether new tasks may go to the machine, if there is room.
+// acceptsLocked reports whether new tasks may be placed on the machine if it has
+// room.
 func (s *Scheduler) acceptsLocked(m *machine, now time.Time) bool {
 	kept := !m.returning && !m.returnIntent && !m.quarantined && m.Notice.IsZero()
 	return s.synced(m) && m.Type != nil && kept && !now.Before(m.placeNotBefore) &&
@@ -77,7 +79,8 @@
 		!s.detector.HeartbeatsMissing(&m.Worker, now)
 }
 
-// usableLocked reports whether new tasks may go to the machine at all.
+// usableLocked reports whether the machine accepts new tasks and its free capacity is
+// known.
 func (s *Scheduler) usableLocked(m *machine, now time.Time) bool {
 	if !s.acceptsLocked(m, now) {
 		return false
@@ -86,7 +89,7 @@
 	return sized
 }
 
-// updateOpenLocked keeps a machine on the list of open ones for as long as tasks
+// updateOpenLocked keeps a machine in the packer's list of open machines while tasks
 // are on it.
 func (s *Scheduler) updateOpenLocked(m *machine) {
 	if m.ActiveCount() > 0 {
@@ -101,8 +104,8 @@
 	}
 }
 
-// isReleasedLocked reports whether a machine was surely returned to the cloud, by
-// this scheduler or by another.
+// isReleasedLocked reports whether a machine is known to have been returned to the
+// cloud, by this scheduler or another one.
 func (s *Scheduler) isReleasedLocked(name string) bool {
 	if s.inventory.IsReleased(name) {
 		return true
@@ -111,9 +114,10 @@
 	return owner.Released()
 }
 
-// drainLocked empties a machine that the cloud will take away, or whose lease
-// will expire: replicas move at once, and what can save is stopped in time. The
-// rest runs on: it may finish before, and stopping it would lose it anyway.
+// drainLocked stops tasks on a machine that the cloud will take away or whose lease
+// will expire: service replicas, so that they move at once; tasks that can save their
+// progress, while there is time; and tasks that have not started. Other tasks keep
+// running: they may finish before, and stopping them would lose their work anyway.
 func (s *Scheduler) drainLocked(m *machine) {
 	for _, a := range m.Attempts.All() {
 		if a.Stop || a.Exited() || !a.Sized {
@@ -134,7 +138,8 @@
 	s.checkpoints.Leave(&m.record)
 	delete(s.machines, m.Name)
 	if _, named := s.opts.Authority.OwnerOf(m.Name); named {
-		// Whoever takes over this scheduler's machines must not expect it among them.
+		// A controller that takes over this scheduler's machines must not expect this one
+		// to exist.
 		s.transfers.Release(m.Name)
 	}
 }
--- a/internal/scheduler/machinewatch.go
+++ b/internal/scheduler/machinewatch.go
@@ -9,25 +9,28 @@
 )
 
 const (
-	// electionSettleTime is how long after an election workers still come to controllers that
-	// do not lead, also those that the leader reaches.
+	// electionSettleTime is how long after an election workers still send heartbeats to
+	// controllers other than the leader, even workers that the leader reaches.
 	electionSettleTime = 10 * time.Second
-	// exitedAttemptsTokenAge and exitedAttemptsIdleTime are how long after the token last rose, and
-	// after a machine became idle, exited attempts on it may call for a higher token.
+	// exitedAttemptsTokenAge and exitedAttemptsIdleTime are the times that must have
+	// passed since the token was last raised, and since a machine became idle, before
+	// exited attempts on the machine can cause the token to be raised.
 	exitedAttemptsTokenAge = 20 * time.Second
 	exitedAttemptsIdleTime = 2 * time.Second
-	// overdueMargin is how long before a cancelled task must be gone its machine is
-	// returned, if no lease expiry proves it gone in time.
+	// overdueMargin is how long before the deadline of a cancelled task its machine is
+	// returned, if no lease expiry will prove the task gone in time.
 	overdueMargin = 3 * time.Second
 )
 
-// workersLocked are the workers of the scheduler's machines.
+// workersLocked returns a sequence of the workers of the scheduler's machines.
 func (s *Scheduler) workersLocked() iter.Seq[*detector.Worker] {
 	return machineParts(s, func(m *machine) *detector.Worker { return &m.Worker })
 }
 
-// watchMachinesLocked probes silent workers, settles what lease expiries or returns
-// prove, drains what is noticed, and raises the token where only that helps.
+// watchMachinesLocked probes silent workers, settles the attempts of workers whose
+// leases have expired, returns failed machines, drains machines that are about to be
+// taken away or whose heartbeats are missing, and raises the fencing token if
+// attempts cannot be settled otherwise.
 func (s *Scheduler) watchMachinesLocked(now time.Time) {
 	if !s.loaded || !s.permitted() {
 		return
@@ -56,11 +59,11 @@
 	}
 }
 
-// resignIfPartitionedLocked gives up leading where the workers that this controller
-// cannot reach come to another. Soon after an election all workers do: then more
-// must have come there than this controller reaches. Where many machines are gone
-// for good, each leader otherwise resigned in turn, and none led for long enough
-// to find out.
+// resignIfPartitionedLocked gives up leadership if the workers that this controller
+// cannot reach send their heartbeats to another controller. Soon after an election
+// all workers still do that, so then more workers must have gone there than this
+// controller reaches. Without this rule, when many machines were gone for good, one
+// leader after the other resigned and none led for long enough to detect that.
 func (s *Scheduler) resignIfPartitionedLocked(assessment *detector.Assessment, now time.Time) {
 	if !s.detector.Partitioned() || !s.leadsLocked() || now.Sub(s.resignedAt) <= electionSettleTime {
 		return
@@ -73,7 +76,8 @@
 	}
 }
 
-// expireLeaseIfDueLocked takes the proof that a silent worker's lease has expired.
+// expireLeaseIfDueLocked settles the attempts on a machine once the lease of its
+// silent worker has provably expired.
 func (s *Scheduler) expireLeaseIfDueLocked(m *machine, now time.Time) {
 	if m.ActiveCount() == 0 || !s.detector.Suspected(&m.Worker, now) {
 		return
@@ -84,8 +88,8 @@
 	}
 }
 
-// leaseExpiryLocked returns when the lease of the machine's worker has surely
-// expired; not ok: another controller may still answer the worker.
+// leaseExpiryLocked returns the time by which the lease of the machine's worker has
+// certainly expired. ok is false if another controller may still answer the worker.
 func (s *Scheduler) leaseExpiryLocked(m *machine) (expiry time.Time, ok bool) {
 	var fenced time.Time
 	if m.fenceToken > 0 {
@@ -96,7 +100,8 @@
 	return s.detector.LeaseExpiry(&m.Worker, fenced), true
 }
 
-// returnReasonLocked tells why a machine is to be returned, if it is.
+// returnReasonLocked returns the reason to return a machine to the cloud, or
+// NotReturned.
 func (s *Scheduler) returnReasonLocked(m *machine, assessment *detector.Assessment, now time.Time) autoscale.ReturnReason {
 	switch {
 	case m.returning:
@@ -117,8 +122,9 @@
 	return autoscale.NotReturned
 }
 
-// cancelledTaskOverdueLocked reports whether a cancelled job's task may still be there when
-// it must be gone soon, and its lease does not surely expire before.
+// cancelledTaskOverdueLocked reports whether a task of a cancelled job may still be
+// on the machine at its deadline, or shortly before it while the lease is not certain
+// to expire in time.
 func (s *Scheduler) cancelledTaskOverdueLocked(m *machine, now time.Time) bool {
 	for _, a := range m.Attempts.All() {
 		if a.MustGoBy.IsZero() || a.Exited() || now.Before(a.MustGoBy.Add(-overdueMargin)) {
@@ -134,8 +140,8 @@
 	return false
 }
 
-// heldByExitedAttemptsLocked reports whether exited attempts alone keep an idle machine
-// from being handed over or returned.
+// heldByExitedAttemptsLocked reports whether exited attempts alone prevent an idle
+// machine from being handed over or returned.
 func (s *Scheduler) heldByExitedAttemptsLocked(m *machine, now time.Time) bool {
 	return m.ActiveCount() == 0 && m.Attempts.Len() > 0 &&
 		now.Sub(s.epoch.raisedAt) > exitedAttemptsTokenAge && now.Sub(m.idleSince) > exitedAttemptsIdleTime
--- a/internal/scheduler/probes.go
+++ b/internal/scheduler/probes.go
@@ -11,18 +11,19 @@
 	"heronwick/wire"
 )
 
-// probesPerSecondPerCore is how many probes a second are sent for each core that this
-// controller has. Without the bound a controller that answers late, and so takes
-// its workers for silent, uses all of its time to probe them.
+// probesPerSecondPerCore is the number of probes sent per second for each core that
+// this controller has. Without a limit, a controller that falls behind considers its
+// workers silent and spends all of its processor time on probes.
 const probesPerSecondPerCore = 1000
 
-// probeRate bounds the probes of a controller with so many cores.
+// probeRate returns the limiter for the probes of a controller with coreShare cores.
 func probeRate(coreShare float64) *rate.Limiter {
 	perSecond := probesPerSecondPerCore * coreShare
 	return newLimiter(perSecond, max(2*detector.SampleSize, int(perSecond)))
 }
 
-// newLimiter allows so many events a second; 0: any number.
+// newLimiter returns a limiter for perSecond events per second, or without a limit if
+// perSecond is 0.
 func newLimiter(perSecond float64, burst int) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, burst)
@@ -30,14 +31,15 @@
 	return rate.NewLimiter(rate.Limit(perSecond), burst)
 }
 
-// probeIfDueLocked probes a worker if the detector says so and the rate allows it.
+// probeIfDueLocked probes a worker if the detector considers a probe due and the rate
+// limit allows it.
 func (s *Scheduler) probeIfDueLocked(m *machine, now time.Time) {
 	if s.detector.ProbeDue(&m.Worker, now) && s.probeRate.Allow() {
 		s.probeLocked(m, now)
 	}
 }
 
-// probeLocked requests a worker's status, and notes whether it answers.
+// probeLocked requests a worker's status and handles the answer, or its absence.
 func (s *Scheduler) probeLocked(m *machine, now time.Time) {
 	if m.Address == "" {
 		m.ProbeImpossible(now)
@@ -68,8 +70,7 @@
 	return s.opts.Workers.Status(ctx, address)
 }
 
-// probeFailedLocked draws the consequences of a probe that was sent at a time and
-// not answered.
+// probeFailedLocked handles a probe, sent at the given time, that was not answered.
 func (s *Scheduler) probeFailedLocked(m *machine, err error, sent time.Time) {
 	if s.detector.Inconclusive(err, time.Now()) {
 		return
@@ -79,18 +80,18 @@
 	}
 }
 
-// returnRestartedLocked returns a machine whose worker answers with an incarnation
-// or a sequence number from before its last heartbeat: it has started anew, without the tasks that it had. Commands that were
-// meant for it as it was may still come, and what they start lasts for the lease with
-// which it has begun.
+// returnRestartedLocked returns a machine whose worker answers with an incarnation or
+// a sequence number older than its last heartbeat: the worker has restarted without
+// its tasks. Commands sent to it before the restart may still arrive, and a task that
+// they start can run for as long as the lease with which the worker started.
 func (s *Scheduler) returnRestartedLocked(m *machine) {
 	m.IncarnationSeenAt = time.Now()
 	s.returnLocked([]*machine{m}, autoscale.ReasonRestarted)
 }
 
-// probeSampleLocked probes some workers of each zone that have not been heard for a
-// moment: whether they answer shows if one worker is dead, a zone partitioned off,
-// or this controller.
+// probeSampleLocked probes some workers of each zone that have not been heard from
+// recently. Their answers show whether one worker is dead, or a zone or this
+// controller is partitioned.
 func (s *Scheduler) probeSampleLocked(now time.Time) {
 	probed := map[string]int{}
 	for _, m := range s.machines {
@@ -102,8 +103,8 @@
 	}
 }
 
-// noteAnswerLocked notes whether a direct request was answered: a worker that does
-// not answer gets nothing new, though its heartbeats arrive.
+// noteAnswerLocked records whether a direct request was answered, and returns that. A
+// worker that does not answer gets no new tasks, even while its heartbeats arrive.
 func (s *Scheduler) noteAnswerLocked(m *machine, err error) bool {
 	if err == nil {
 		m.NoteReachable()
--- a/internal/scheduler/readiness.go
+++ b/internal/scheduler/readiness.go
@@ -2,13 +2,13 @@
 
 import "heronwick/internal/job"
 
-// effectivePriorityOf is the priority under which a job's tasks run.
+// effectivePriorityOf returns the priority at which a job's tasks run.
 func (s *Scheduler) effectivePriorityOf(record *job.Record) int {
 	return s.opts.Jobs.Readiness(record).Rank
 }
 
-// ReadinessChanged implements job.Listener: the jobs, by ID, became ready or
-// changed their effective priority or deadline.
+// ReadinessChanged implements job.Listener. It is called with the IDs of jobs that
+// became ready, or whose effective priority or deadline changed.
 func (s *Scheduler) ReadinessChanged(ids []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,8 +29,8 @@
 	s.wakeLoop()
 }
 
-// reprioritizeLocked gives the attempts of jobs, by ID, another effective
-// priority.
+// reprioritizeLocked sets a new effective priority for the attempts of the given
+// jobs, by job ID.
 func (s *Scheduler) reprioritizeLocked(priorities map[string]int) {
 	if len(priorities) == 0 {
 		return
--- a/internal/scheduler/rebalancing.go
+++ b/internal/scheduler/rebalancing.go
@@ -10,16 +10,16 @@
 	// rebalanceInterval is how often idle machines are rebalanced among the controllers.
 	rebalanceInterval = 30 * time.Second
 	// unknownTasksRetention is how long a machine with tasks of unknown jobs is
-	// remembered: it is gone, or it would have been decided.
+	// remembered. By then the machine is gone, or the state of the jobs was resolved.
 	unknownTasksRetention = 10 * time.Minute
-	// busyPerIdleMachine is for how many machines in use one idle machine stays at hand.
+	// busyPerIdleMachine is the number of machines in use for each idle machine that a
+	// controller keeps.
 	busyPerIdleMachine = 4
 )
 
-// rebalanceIdleLocked hands idle machines that are more than a controller
-// needs at hand over to the leader, and lets the leader hand them over to
-// controllers without one. A controller that starves gets them at once, see
-// Place.
+// rebalanceIdleLocked hands idle machines that a controller does not need over to the
+// leader, and on the leader distributes them to controllers that have none. A
+// controller whose tasks find no room gets machines at once, see Place.
 func (s *Scheduler) rebalanceIdleLocked(now time.Time) {
 	if !s.loaded || !s.permitted() || now.Sub(s.rebalancedAt) < rebalanceInterval {
 		return
@@ -33,7 +33,8 @@
 	if len(idle) <= 1 {
 		return
 	}
-	// A controller will need about as much as it has in use.
+	// A controller's further demand is expected to be proportional to what it has in
+	// use.
 	keep := max(1, (len(s.machines)-len(idle))/busyPerIdleMachine)
 	switch {
 	case len(idle) <= keep:
@@ -44,7 +45,8 @@
 	}
 }
 
-// forgetOldMachinesLocked forgets machines that have been gone for long.
+// forgetOldMachinesLocked deletes what is remembered of machines that have been gone
+// for a long time.
 func (s *Scheduler) forgetOldMachinesLocked(now time.Time) {
 	s.inventory.ForgetReleased(now)
 	for name, at := range s.unknownTasksSince {
@@ -64,8 +66,9 @@
 	return false
 }
 
-// distributeIdleLocked hands over idle machines, but for those to keep, in equal
-// parts to the controllers that have jobs and no idle machine; one part stays.
+// distributeIdleLocked hands over the idle machines, except for keep of them, in
+// equal shares to the controllers that have jobs and no idle machine. One share
+// remains here.
 func (s *Scheduler) distributeIdleLocked(idle []*machine, keep int) {
 	var starving []string
 	for node := range s.epoch.Members {
@@ -82,7 +85,7 @@
 	}
 }
 
-// hasJobs reports whether the member has jobs to place.
+// hasJobs reports whether a member has active jobs.
 func (s *Scheduler) hasJobs(node string) bool {
 	for _, r := range s.opts.Jobs.AllActive() {
 		if s.epoch.OwnerOf(r.Job.Team, r.Job.ID) == node {
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -9,9 +9,9 @@
 	"heronwick/internal/recovery"
 )
 
-// rebuild makes the scheduler fit a new epoch: it lets go of jobs that are no
-// longer its own, takes machines without an owner, and reads from the records
-// what may be where, before anything of that is placed.
+// rebuild adapts the scheduler to a new epoch. It drops jobs that the scheduler no
+// longer owns, adopts machines without an owner, and reads from the records which
+// attempts may be on which machines before any task of the gained jobs is placed.
 func (s *Scheduler) rebuild(ctx context.Context, view cluster.View, gained []*job.Record, adopt []string) {
 	epoch := &view.Epoch
 	var records recovery.Records
@@ -25,13 +25,13 @@
 	defer s.recheckEpoch()
 	s.rebuilding = false
 	if err != nil {
-		s.log.Info("rebuilding the scheduler failed, trying again", "err", err)
+		s.log.Info("failed to read the records for a rebuild; will retry", "err", err)
 		return
 	}
 	if now := s.opts.Authority.View().Epoch; ctx.Err() != nil || now.Token != epoch.Token {
-		return // the next epoch starts over: what was read may be outdated
+		return // the records may be outdated; the next epoch starts another rebuild
 	}
-	s.dropLostJobsLocked(epoch) // what came meanwhile by the old epoch
+	s.dropLostJobsLocked(epoch) // jobs that were added under the old epoch meanwhile
 	s.setEpochLocked(view)
 	s.restoreLocked(records, gained, adopt)
 	s.adoptedToken, s.loaded = epoch.Token, true
@@ -41,9 +41,10 @@
 	}
 }
 
-// beginRebuild lets go of what is not the scheduler's under an epoch, and tells
-// whether the records must be read, whatever jobs and machines it gains. A new leader
-// also has what the one before had without writing it.
+// beginRebuild drops the jobs that the scheduler does not own in an epoch, and
+// reports whether the records must be read even if it gains no jobs or machines. A
+// new leader must read them because it also takes over what the previous leader owned
+// without a transfer being written.
 func (s *Scheduler) beginRebuild(epoch *cluster.Epoch) (needsRecords bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,8 +53,8 @@
 	return needsRecords
 }
 
-// restoreLocked takes the jobs that the scheduler gains, and from the records what
-// may be on machines.
+// restoreLocked adds the jobs that the scheduler gains, and restores from the records
+// which attempts may be on which machines.
 func (s *Scheduler) restoreLocked(records recovery.Records, gained []*job.Record, adopt []string) {
 	first := !s.loaded
 	if first {
@@ -69,8 +70,8 @@
 	}
 }
 
-// addGainedJobsLocked adds jobs that the scheduler gains with their done tasks, if
-// they are still active, and returns which it has added.
+// addGainedJobsLocked adds the jobs that the scheduler gains, with their done tasks,
+// if they are still active. It returns the IDs of the jobs that it added.
 func (s *Scheduler) addGainedJobsLocked(gained []*job.Record, done []job.DoneBucket) (added map[string]bool) {
 	added = map[string]bool{}
 	for _, record := range gained {
@@ -89,8 +90,8 @@
 	return added
 }
 
-// adoptDoneBucketsLocked takes over, as the leader, the buckets of done tasks whose
-// owners' memberships are over.
+// adoptDoneBucketsLocked takes over, on the leader, the buckets of done tasks whose
+// owners' memberships have ended.
 func (s *Scheduler) adoptDoneBucketsLocked(done []job.DoneBucket) {
 	if s.epoch.Leader != s.opts.Node {
 		return
@@ -102,8 +103,9 @@
 	}
 }
 
-// gainsLimitLocked reports whether a team whose limit this scheduler keeps under an
-// epoch was another's: what may still run of it, also of jobs that are over, counts.
+// gainsLimitLocked reports whether this scheduler becomes responsible for the limit
+// of a team in an epoch. All tasks of the team that may still run count against the
+// limit, including those of ended jobs.
 func (s *Scheduler) gainsLimitLocked(epoch *cluster.Epoch) bool {
 	for name := range s.teams.Limited() {
 		if epoch.Teams[name] == s.opts.Node && s.epoch.Teams[name] != s.opts.Node {
@@ -113,9 +115,10 @@
 	return false
 }
 
-// countEndedJobsLocked counts what may still run on the scheduler's machines of jobs that
-// are over, of teams that are now its own. Nobody accepts, gains or places such
-// a job, but its tasks use up the team's limit until they are surely gone.
+// countEndedJobsLocked counts the attempts of ended jobs that may still run on the
+// scheduler's machines, for the teams that it now owns. No scheduler accepts, gains
+// or places such a job, but its attempts use up the team's limit until they are known
+// to be gone.
 func (s *Scheduler) countEndedJobsLocked() {
 	for _, m := range s.machines {
 		for _, a := range m.Attempts.All() {
--- a/internal/scheduler/recordwriter.go
+++ b/internal/scheduler/recordwriter.go
@@ -7,8 +7,9 @@
 	"heronwick/internal/state"
 )
 
-// recordWriter is what checkpoint.Writer and completion.Table both see of the
-// scheduler: the rights under which its records are written and removed.
+// recordWriter implements the methods common to checkpoint.Scheduler and
+// completion.Scheduler: the permissions under which the scheduler's records are
+// written and removed.
 type recordWriter struct{ *Scheduler }
 
 // Fence implements checkpoint.Scheduler and completion.Scheduler.
@@ -20,18 +21,18 @@
 // CleanupGuard implements checkpoint.Scheduler and completion.Scheduler.
 func (s recordWriter) CleanupGuard() (duty.Guard, error) { return s.recordCleanupGuard() }
 
-// writeMarkLocked returns a string that no other write contains.
+// writeMarkLocked returns a string that is unique to one write.
 func (s *Scheduler) writeMarkLocked() string {
-	s.lastSerial++ // any number that never comes again under this token
+	s.lastSerial++ // never repeats under this token
 	return fmt.Sprintf("%s-%d-%d", s.opts.Node, s.epoch.Token, s.lastSerial)
 }
 
-// recordCleanupDuty is the duty of removing this scheduler's records.
+// recordCleanupDuty returns the duty of removing this scheduler's records.
 func (s *Scheduler) recordCleanupDuty() duty.ID {
 	return duty.ID{Name: duty.Cleanup, Scope: duty.Shard(s.opts.Node)}
 }
 
-// recordCleanupGuard returns the right to remove this scheduler's records.
+// recordCleanupGuard returns the guard for removing this scheduler's records.
 func (s *Scheduler) recordCleanupGuard() (duty.Guard, error) {
 	return s.opts.Actions.Guard(s.recordCleanupDuty())
 }
--- a/internal/scheduler/renting.go
+++ b/internal/scheduler/renting.go
@@ -14,12 +14,12 @@
 	"heronwick/wire"
 )
 
-// maxWants bounds the jobs without room that a heartbeat to a peer names.
+// maxWants bounds the number of jobs without room that a heartbeat to a peer lists.
 const maxWants = 500
 
-// wantsLocked returns, for the heartbeats to the peers, what finds no room here: the
-// leader rents, and must know of all that waits, not only of what it is just
-// requested to place.
+// wantsLocked returns, for the heartbeats to the peers, the numbers of tasks that
+// find no room here. The leader rents machines for all controllers, so it must know
+// of all waiting tasks, not only of those that it is currently requested to place.
 func (s *Scheduler) wantsLocked(now time.Time) []*peerpb.Want {
 	var wants []*peerpb.Want
 	for id, queued := range s.jobs {
@@ -30,14 +30,15 @@
 	return wants
 }
 
-// unmetDemand is what a job, of any scheduler, finds no room for.
+// unmetDemand is the number of a job's tasks that find no room. The job may belong to
+// any scheduler.
 type unmetDemand struct {
 	job   *queue.Job
 	tasks int
 }
 
-// unmetDemandLocked gathers what finds no room in any scheduler, in the order
-// in which it is rented for.
+// unmetDemandLocked returns the unmet demand of all schedulers, in the order in which
+// machines are rented for it.
 func (s *Scheduler) unmetDemandLocked(now time.Time) []unmetDemand {
 	var all []unmetDemand
 	for _, queued := range s.jobs {
@@ -62,8 +63,8 @@
 	return all
 }
 
-// rentRequestsLocked returns what is to be rented now, and how many idle
-// machines are kept in reserve from now on.
+// rentRequestsLocked returns the rent requests to send now, and updates the number of
+// idle machines to keep in reserve.
 func (s *Scheduler) rentRequestsLocked(now time.Time) []wire.RentRequest {
 	if !s.loaded || !s.permitted() {
 		return nil
@@ -73,14 +74,14 @@
 	requests := s.planner.Plan(fleet, s.demandLocked(now), now)
 	for i := range requests {
 		s.lastSerial++
-		// Tokens are used once and the count only rises under one, so no
-		// request name ever comes again.
+		// A token is never reused, and the serial number only increases under a token, so
+		// every request name is unique.
 		requests[i].Request = fmt.Sprintf("heronwick-%s-%d-%d", s.opts.Node, s.epoch.Token, s.lastSerial)
 	}
 	return requests
 }
 
-// fleetInUseLocked sums the machines that there are, for planning.
+// fleetInUseLocked returns the totals of the existing machines for the planner.
 func (s *Scheduler) fleetInUseLocked(now time.Time) autoscale.Fleet {
 	fleet := autoscale.Fleet{ByZone: map[string]int{}}
 	for _, m := range s.machines {
@@ -98,7 +99,7 @@
 	return fleet
 }
 
-// demandLocked returns the unmet demand in terms of the planner.
+// demandLocked returns the unmet demand in the form that the planner takes.
 func (s *Scheduler) demandLocked(now time.Time) []autoscale.Demand {
 	var demand []autoscale.Demand
 	for _, d := range s.unmetDemandLocked(now) {
@@ -107,7 +108,7 @@
 	return demand
 }
 
-// renter returns what sends the rent requests of this scheduler.
+// renter returns the Renter that sends this scheduler's rent requests.
 func (s *Scheduler) renter() *autoscale.Renter {
 	return &autoscale.Renter{
 		Actions: s.opts.Actions,
@@ -130,14 +131,15 @@
 	}
 }
 
-// applyRentalLocked takes the machines that a rent request has brought, or its error.
+// applyRentalLocked applies the result of a rent request: the names of the new
+// machines, or an error.
 func (s *Scheduler) applyRentalLocked(req wire.RentRequest, names []string, err error) {
 	pool := placement.Pool{Type: req.Type, Zone: req.Zone, Spot: req.Spot}
 	now := time.Now()
 	filled := err == nil && len(names) >= req.Count
 	s.inventory.NoteAnswer(pool, filled, now)
 	if !filled {
-		s.log.Info("rental not filled", "type", req.Type, "zone", req.Zone, "spot", req.Spot, "asked", req.Count, "got", len(names), "err", err)
+		s.log.Info("rental not filled", "type", req.Type, "zone", req.Zone, "spot", req.Spot, "requested", req.Count, "got", len(names), "err", err)
 	}
 	for _, name := range names {
 		if s.machines[name] == nil && !s.isReleasedLocked(name) && !s.opts.Actions.HasReturnIntent(name) {
--- a/internal/scheduler/returns.go
+++ b/internal/scheduler/returns.go
@@ -11,20 +11,22 @@
 )
 
 const (
-	// returnRetryDelay is how long a machine is kept whose return was refused.
+	// returnRetryDelay is how long a machine is kept before its return is tried again
+	// after it could not be recorded.
 	returnRetryDelay = time.Second
-	// closeReturnsInterval is how often return intents are removed whose machines are gone.
+	// closeReturnsInterval is how often the return intents of machines that are gone are
+	// removed.
 	closeReturnsInterval = 3 * time.Second
 )
 
-// returnLocked returns machines of this scheduler to the cloud. When the cloud
-// says so, they and all that was on them are gone.
+// returnLocked returns machines of this scheduler to the cloud. Once the cloud
+// confirms it, the machines and all attempts on them are gone.
 func (s *Scheduler) returnLocked(machines []*machine, reason autoscale.ReturnReason) {
 	s.beginReturnLocked(duty.ID{Name: duty.Return, Scope: duty.Shard(s.opts.Node)}, machines, reason)
 }
 
-// reclaimLocked returns machines that may have no worker, and that no scheduler
-// looks after.
+// reclaimLocked returns machines that may have no worker and that no scheduler
+// manages.
 func (s *Scheduler) reclaimLocked(names []string, reason autoscale.ReturnReason) {
 	var machines []*machine
 	for _, name := range names {
@@ -37,8 +39,8 @@
 	s.beginReturnLocked(duty.ID{Name: duty.Reclaim, Scope: duty.Fleet}, machines, reason)
 }
 
-// beginReturnLocked starts to return those of the machines that may be returned
-// now, under a duty.
+// beginReturnLocked starts to return, under a duty, those of the machines that may be
+// returned now.
 func (s *Scheduler) beginReturnLocked(id duty.ID, machines []*machine, reason autoscale.ReturnReason) {
 	names := s.selectReturnsLocked(machines, reason, time.Now())
 	if len(names) == 0 {
@@ -48,7 +50,7 @@
 	s.spawn(func(ctx context.Context) { s.returner().Execute(ctx, ret) })
 }
 
-// selectReturnsLocked marks as returning as many of the machines as fit one
+// selectReturnsLocked marks as many of the machines as returning as fit into one
 // request and one return intent, and returns their names.
 func (s *Scheduler) selectReturnsLocked(machines []*machine, reason autoscale.ReturnReason, now time.Time) []string {
 	var names []string
@@ -66,7 +68,7 @@
 	return names
 }
 
-// returner returns what carries out the returns of this scheduler.
+// returner returns the Returner that executes the returns of this scheduler.
 func (s *Scheduler) returner() *autoscale.Returner {
 	return &autoscale.Returner{
 		Actions: s.opts.Actions,
@@ -95,8 +97,8 @@
 	s.wakeLoop()
 }
 
-// abortReturnLocked keeps machines whose return could not be recorded, and
-// tries again later.
+// abortReturnLocked keeps machines whose return could not be recorded. The return is
+// tried again after returnRetryDelay.
 func (s *Scheduler) abortReturnLocked(names []string) {
 	for _, name := range names {
 		if m := s.machines[name]; m != nil {
@@ -105,8 +107,8 @@
 	}
 }
 
-// abandonedReturnsLocked returns the machines with return intents that are on no
-// record of tasks and whose owners are no members any more. Those with records
+// abandonedReturnsLocked returns the names of machines with return intents that have
+// no records of tasks and whose owners are no longer members. Machines with records
 // are adopted first.
 func (s *Scheduler) abandonedReturnsLocked() []string {
 	if !s.leadsLocked() || s.adoptedToken != s.opts.Authority.Token() || !s.permitted() {
@@ -121,8 +123,8 @@
 	return names
 }
 
-// closeReturnsLocked removes the return intents whose machines are released,
-// once no other controller takes those for machines that are there.
+// closeReturnsLocked removes the return intents of released machines once the release
+// has been announced: from then on no other controller expects the machines to exist.
 func (s *Scheduler) closeReturnsLocked() {
 	if !s.opts.Actions.Active() || !s.loaded {
 		return
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -7,7 +7,7 @@
 	"heronwick/internal/placement"
 )
 
-// logLoadLocked logs how full the scheduler is, for its operator.
+// logLoadLocked logs the scheduler's load for operators.
 func (s *Scheduler) logLoadLocked(now time.Time) {
 	usable, open, tasks, waiting, notReady := 0, 0, 0, 0, 0
 	for _, m := range s.machines {
@@ -34,13 +34,14 @@
 	s.passes = passStats{}
 }
 
-// capacity is what the usable machines have together.
+// capacity is the total capacity of the usable machines.
 type capacity struct {
 	idleMachines int
 	total, free  placement.Resources
 }
 
-// capacityLocked counts the idle machines and sums the resources of the usable ones.
+// capacityLocked counts the idle machines and sums up the resources of the usable
+// ones.
 func (s *Scheduler) capacityLocked(now time.Time) capacity {
 	var sum capacity
 	for _, m := range s.machines {
@@ -55,7 +56,7 @@
 	return sum
 }
 
-// summary is what heartbeats to the peers say of the scheduler.
+// summary is the scheduler's state as sent in heartbeats to the peers.
 type summary struct {
 	machines, idle int
 	cpus, freeCPUs float64
@@ -64,20 +65,20 @@
 	wants          []*peerpb.Want
 }
 
-// summarizeInterval is how often the summary is made: as often as heartbeats go out
-// to each of two peers.
+// summarizeInterval is how often the summary is updated. Heartbeats go out this often
+// in a cluster with two peers, each of which is sent one per second.
 const summarizeInterval = 500 * time.Millisecond
 
-// summarizeLocked makes the summary anew.
+// summarizeLocked updates the summary.
 func (s *Scheduler) summarizeLocked(now time.Time) {
 	available := s.capacityLocked(now)
 	s.summary.Store(&summary{machines: len(s.machines), idle: available.idleMachines, cpus: available.total.CPUs, freeCPUs: available.free.CPUs,
 		partitioned: s.detector.Partitioned(), overloaded: s.overloadedLocked(now), wants: s.wantsLocked(now)})
 }
 
-// Status fills in what a heartbeat to a peer says of the scheduler, as last
-// summarized. It takes no lock: the heartbeat must not wait behind passes and
-// workers' heartbeats, or a busy controller is taken for dead.
+// Status fills in the scheduler's part of a heartbeat to a peer from the last
+// summary. It takes no lock: if the heartbeat had to wait for passes and workers'
+// heartbeats, the peers would consider a busy controller dead.
 func (s *Scheduler) Status(status *peerpb.Status) {
 	sum := s.summary.Load()
 	if sum == nil {
--- a/internal/scheduler/tokensync.go
+++ b/internal/scheduler/tokensync.go
@@ -11,36 +11,39 @@
 )
 
 const (
-	// maxTokenRequests is how many workers are sent a new token at a time. A takeover
-	// of thousands at once would use up sockets and this controller's part of a
-	// processor, and most send a heartbeat by themselves before their turn comes. Those
-	// of a zone that is partitioned off must not keep all others waiting.
+	// maxTokenRequests bounds the number of workers that are sent a new token at a time.
+	// A takeover that contacted thousands of workers at once would use up sockets and
+	// this controller's share of a processor, and most workers send a heartbeat by
+	// themselves before their turn comes. The bound is large enough that the workers of
+	// a partitioned zone do not block all others.
 	maxTokenRequests = 512
-	// tokenRequestsPerSecondPerCore is how many workers a second may be sent a new token for
-	// each core that this controller has: about half of its time, the rest is for the
-	// heartbeats that come by themselves.
+	// tokenRequestsPerSecondPerCore is how many workers may be sent a new token per
+	// second for each core that this controller has. This takes about half of the
+	// processor time; the rest is left for the heartbeats that workers send by
+	// themselves.
 	tokenRequestsPerSecondPerCore = 4000
-	// tokenRequestPause is how long sending the token waits where it went too fast.
+	// tokenRequestPause is how long token requests pause when they reach the rate limit.
 	tokenRequestPause = 50 * time.Millisecond
 )
 
-// tokenSync is the part of a takeover that follows the rebuild: the workers of the
-// machines that were adopted are sent the scheduler's fencing token.
+// tokenSync is the part of a takeover that follows the rebuild: the scheduler's
+// fencing token is sent to the workers of the adopted machines.
 type tokenSync struct {
-	unsynced []*machine    // whose workers are still to be sent the token
-	requests int           // that are under way
-	rate     *rate.Limiter // of requests
-	paused   bool          // until the rate allows the next
+	unsynced []*machine    // machines whose workers are yet to be sent the token
+	requests int           // number of requests in flight
+	rate     *rate.Limiter // limits the requests
+	paused   bool          // until the limiter allows the next request
 }
 
-// tokenRequestRate bounds the token requests of a controller with so many cores.
+// tokenRequestRate returns the limiter for the token requests of a controller with
+// coreShare cores.
 func tokenRequestRate(coreShare float64) *rate.Limiter {
 	perSecond := tokenRequestsPerSecondPerCore * coreShare
 	return newLimiter(perSecond, max(1, min(maxTokenRequests, int(perSecond/4))))
 }
 
-// queueTokenSyncLocked sends a worker the new token soon and takes its heartbeat: until then
-// nothing may be placed on its machine.
+// queueTokenSyncLocked queues a machine so that its worker is sent the new token and
+// answers with a heartbeat. Nothing may be placed on the machine before that.
 func (s *Scheduler) queueTokenSyncLocked(m *machine) {
 	if m.mayRunCancelledTask() {
 		s.tokenSync.unsynced = slices.Insert(s.tokenSync.unsynced, 0, m)
@@ -50,8 +53,9 @@
 	s.syncNextWorkersLocked()
 }
 
-// mayRunCancelledTask reports whether a cancelled job's task may be on the machine: sending
-// its worker the token, and with it the stop, does not wait for its turn.
+// mayRunCancelledTask reports whether a task of a cancelled job may be on the
+// machine. Its worker is then sent the token, and after its answer the stop, without
+// waiting in the queue or for the limiter.
 func (m *machine) mayRunCancelledTask() bool {
 	for _, a := range m.Attempts.All() {
 		if !a.MustGoBy.IsZero() && !a.Exited() {
@@ -61,7 +65,8 @@
 	return false
 }
 
-// syncNextWorkersLocked goes on with the workers that still have not sent a heartbeat.
+// syncNextWorkersLocked sends the token to the next queued workers that have not sent
+// a heartbeat under it yet.
 func (s *Scheduler) syncNextWorkersLocked() {
 	t := &s.tokenSync
 	for t.requests < maxTokenRequests && len(t.unsynced) > 0 {
@@ -82,7 +87,7 @@
 	}
 }
 
-// resumeTokenSync goes on after a pause.
+// resumeTokenSync continues to send the token after a pause.
 func (s *Scheduler) resumeTokenSync() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,8 +96,8 @@
 	}
 }
 
-// sendTokenLocked sends a worker the token, without any command, and takes the
-// heartbeat with which it answers.
+// sendTokenLocked sends a worker the token without any command, and applies the
+// heartbeat that the worker answers with.
 func (s *Scheduler) sendTokenLocked(m *machine) {
 	m.BeginRequest()
 	s.tokenSync.requests++
