--- a/internal/cluster/ownership.go
+++ b/internal/cluster/ownership.go
@@ -126,9 +126,9 @@
 	return o, named
 }
 
-// HostOf returns the member that owns a machine in an epoch; one without an owner
+// OwnerInEpoch returns the member that owns a machine in an epoch; one without an owner
 // is the leader's.
-func (c *Cluster) HostOf(epoch *Epoch, machine string) string {
+func (c *Cluster) OwnerInEpoch(epoch *Epoch, machine string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if o, ok := c.owners[machine]; ok && o.memberIn(epoch) {
--- a/internal/scheduler/adoption.go
+++ b/internal/scheduler/adoption.go
@@ -75,7 +75,7 @@
 	// to this controller only in the next epoch would be adopted without the bucket that
 	// contains its record, and the record would be removed as ownerless. That caused
 	// ran_twice violations.
-	host := s.opts.Authority.HostOf(&s.epoch.Epoch, name)
+	host := s.opts.Authority.OwnerInEpoch(&s.epoch.Epoch, name)
 	switch {
 	case host != s.opts.Node:
 		s.trackRecordLocked(adopting, fleet.FromRecord(name, record, s.epoch.Token, adopting.now), host)
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -154,7 +154,7 @@
 	defer s.mu.Unlock()
 	for _, m := range batch.machines {
 		s.transfers.EndMove(m.Name)
-		if refused && s.opts.Authority.HostOf(&s.epoch.Epoch, m.Name) == s.opts.Node && s.machines[m.Name] == nil {
+		if refused && s.opts.Authority.OwnerInEpoch(&s.epoch.Epoch, m.Name) == s.opts.Node && s.machines[m.Name] == nil {
 			s.machines[m.Name] = m
 		}
 	}
--- a/internal/scheduler/options.go
+++ b/internal/scheduler/options.go
@@ -40,8 +40,8 @@
 	// HeartbeatTarget returns the controller to which a machine's worker should send its
 	// heartbeats; owned reports whether the machine's owner is a member.
 	HeartbeatTarget(machine string) (node string, owned bool)
-	// HostOf returns the member that owns the machine under the given epoch.
-	HostOf(epoch *cluster.Epoch, machine string) string
+	// OwnerInEpoch returns the member that owns the machine under the given epoch.
+	OwnerInEpoch(epoch *cluster.Epoch, machine string) string
 	// OwnerOf returns a machine's owner, whether or not that is a member; named reports
 	// whether any transfer names the machine.
 	OwnerOf(machine string) (owner cluster.Owner, named bool)
