--- a/internal/cluster/ownership.go
+++ b/internal/cluster/ownership.go
@@ -174,9 +174,9 @@
 	return TransferWrite{Condition: wire.Condition{Key: key}, Change: wire.Change{Put: key, Value: value}}, true
 }
 
-// NoteOwner applies a transfer that was written at a version, before the watch
+// RecordTransfer applies a transfer that was written at a version, before the watch
 // brings it.
-func (c *Cluster) NoteOwner(change wire.Change, version uint64) {
+func (c *Cluster) RecordTransfer(change wire.Change, version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.applyTransferLocked(change.Put, change.Value, version)
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	s.opts.Authority.NoteOwner(transfer.Change, version)
+	s.opts.Authority.RecordTransfer(transfer.Change, version)
 	return nil
 }
 
--- a/internal/scheduler/options.go
+++ b/internal/scheduler/options.go
@@ -51,9 +51,9 @@
 	// given by name with their records. If node is "", the write marks them as released.
 	// ok is false if node is not a member.
 	NewTransfer(node string, machines map[string]json.RawMessage) (write cluster.TransferWrite, ok bool)
-	// NoteOwner applies a transfer that was written at the given version, without
+	// RecordTransfer applies a transfer that was written at the given version, without
 	// waiting for the watch to deliver it.
-	NoteOwner(change wire.Change, version uint64)
+	RecordTransfer(change wire.Change, version uint64)
 
 	// PeerCapacity returns the total capacity of the other members' machines.
 	PeerCapacity() cluster.PeerCapacity
