--- a/cmd/heronwick/httpserver.go
+++ b/cmd/heronwick/httpserver.go
@@ -37,7 +37,7 @@
 	if target == c.settings.Node {
 		return server.HeartbeatResult{}
 	}
-	c.members.NoteWorkerHeartbeat(heartbeat.Machine)
+	c.members.RecordWorkerHeartbeat(heartbeat.Machine)
 	return server.HeartbeatResult{Redirect: target}
 }
 
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -58,7 +58,7 @@
 
 	// What the others say.
 	peers        map[string]*peer
-	workersHeard map[string]time.Time // by machine, see NoteWorkerHeartbeat
+	workersHeard map[string]time.Time // by machine, see RecordWorkerHeartbeat
 }
 
 // New makes a Cluster; Run starts it.
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -43,9 +43,9 @@
 	ReplicateCancellations(ctx context.Context, req *peerpb.TellRequest) (*peerpb.TellReply, error)
 }
 
-// NoteWorkerHeartbeat records that a worker sent its heartbeat here although
+// RecordWorkerHeartbeat records that a worker sent its heartbeat here although
 // another controller leads.
-func (c *Cluster) NoteWorkerHeartbeat(machine string) {
+func (c *Cluster) RecordWorkerHeartbeat(machine string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.workersHeard[machine] = time.Now()
