--- a/cmd/heronwick/membership.go
+++ b/cmd/heronwick/membership.go
@@ -65,7 +65,7 @@
 		Committer:      c.committer,
 		Types:          c.machineTypes.Types(),
 		Resign:         c.members.StepDown,
-		WorkersAtPeers: c.members.WorkersElsewhere,
+		WorkersAtPeers: c.members.MaxWorkersHeardByPeer,
 		Latency:        c.latency,
 		Log:            c.log,
 	})
--- a/internal/cluster/membership.go
+++ b/internal/cluster/membership.go
@@ -131,7 +131,7 @@
 // workersReachOthersLocked reports whether the workers that a cut-off member
 // cannot reach send their heartbeats to other controllers.
 func (c *Cluster) workersReachOthersLocked(cut *peer) bool {
-	heard := max(len(c.workersHeard), c.mostWorkersHeardLocked(cut))
+	heard := max(len(c.workersHeard), c.maxWorkersHeardByPeerLocked(cut))
 	return heard > int(cut.status.Machines)/3
 }
 
--- a/internal/cluster/peerload.go
+++ b/internal/cluster/peerload.go
@@ -82,17 +82,17 @@
 	return wants
 }
 
-// WorkersElsewhere returns the largest number of workers that lately sent their
+// MaxWorkersHeardByPeer returns the largest number of workers that lately sent their
 // heartbeats to one peer instead of the leader.
-func (c *Cluster) WorkersElsewhere() int {
+func (c *Cluster) MaxWorkersHeardByPeer() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.mostWorkersHeardLocked(nil)
+	return c.maxWorkersHeardByPeerLocked(nil)
 }
 
-// mostWorkersHeardLocked returns the largest number of workers that lately sent
+// maxWorkersHeardByPeerLocked returns the largest number of workers that lately sent
 // their heartbeats to one peer other than the given one.
-func (c *Cluster) mostWorkersHeardLocked(except *peer) int {
+func (c *Cluster) maxWorkersHeardByPeerLocked(except *peer) int {
 	most := 0
 	for _, p := range c.heardPeersLocked() {
 		if p != except {
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -13,7 +13,7 @@
 	// store by itself for peers to send requests through it.
 	directHealthyWithin = 2 * time.Second
 	// workerHeardWithin is how long a worker's heartbeat counts for
-	// WorkersElsewhere.
+	// MaxWorkersHeardByPeer.
 	workerHeardWithin = 5 * time.Second
 	// isolationSlack is how much longer than the leader's lease a controller must
 	// be cut off before it counts as isolated.
