--- a/cmd/heronwick/peers.go
+++ b/cmd/heronwick/peers.go
@@ -64,7 +64,7 @@
 // statePeers returns the peers through which the key-value store can be reached.
 func (c *controller) statePeers() []state.Transport {
 	var transports []state.Transport
-	for _, node := range c.members.StatePeers() {
+	for _, node := range c.members.PeersReachingStore() {
 		transports = append(transports, c.external.peers[node])
 	}
 	return transports
--- a/internal/cluster/peerload.go
+++ b/internal/cluster/peerload.go
@@ -102,8 +102,8 @@
 	return most
 }
 
-// StatePeers returns the peers that lately reached the store.
-func (c *Cluster) StatePeers() []string {
+// PeersReachingStore returns the peers that lately reached the store.
+func (c *Cluster) PeersReachingStore() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var nodes []string
