--- a/cmd/heronwick/httpserver.go
+++ b/cmd/heronwick/httpserver.go
@@ -56,5 +56,5 @@
 	if c.transport.Healthy(stateSilence) {
 		return !c.members.Isolated()
 	}
-	return c.members.PeersAlive() > 0 && len(c.members.PeersReachingStore()) == 0
+	return c.members.LivePeerCount() > 0 && len(c.members.PeersReachingStore()) == 0
 }
--- a/cmd/heronwick/ratelimits.go
+++ b/cmd/heronwick/ratelimits.go
@@ -54,7 +54,7 @@
 		// What has ended uses nothing. One that starts is heard within a heartbeat's
 		// interval, and until then asks for no more than the burst that the store allows.
 		members := float64(max(0, len(view.Epoch.Members)-1))
-		nonMembers := max(0, float64(c.members.PeersAlive())-members)
+		nonMembers := max(0, float64(c.members.LivePeerCount())-members)
 		fraction = max(memberFraction, 1-members*memberFraction-nonMembers*nonMemberFraction)
 	case view.Member:
 		fraction = memberFraction
--- a/internal/cluster/peerload.go
+++ b/internal/cluster/peerload.go
@@ -115,8 +115,8 @@
 	return nodes
 }
 
-// PeersAlive counts the peers that were heard from lately.
-func (c *Cluster) PeersAlive() int {
+// LivePeerCount counts the peers that were heard from lately.
+func (c *Cluster) LivePeerCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.heardPeersLocked())
