--- a/internal/cluster/peerload.go
+++ b/internal/cluster/peerload.go
@@ -68,9 +68,9 @@
 	return loads
 }
 
-// UnplacedWants returns the tasks for which the other members' machines have no
+// PeerUnplacedTasks returns the tasks for which the other members' machines have no
 // room.
-func (c *Cluster) UnplacedWants() []*peerpb.Want {
+func (c *Cluster) PeerUnplacedTasks() []*peerpb.Want {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var wants []*peerpb.Want
--- a/internal/scheduler/options.go
+++ b/internal/scheduler/options.go
@@ -63,9 +63,9 @@
 	// PeerLoads returns, by node, the loads of the other members that have sent a
 	// heartbeat recently.
 	PeerLoads() map[string]cluster.PeerLoad
-	// UnplacedWants returns the tasks of the other members that find no room on those
+	// PeerUnplacedTasks returns the tasks of the other members that find no room on those
 	// members' machines.
-	UnplacedWants() []*peerpb.Want
+	PeerUnplacedTasks() []*peerpb.Want
 }
 
 // Workers sends requests directly to workers, by address. A worker answers with a
--- a/internal/scheduler/renting.go
+++ b/internal/scheduler/renting.go
@@ -46,7 +46,7 @@
 			all = append(all, unmetDemand{queued, n})
 		}
 	}
-	for _, w := range s.opts.Authority.UnplacedWants() {
+	for _, w := range s.opts.Authority.PeerUnplacedTasks() {
 		queued := s.hostedJobs[w.Job]
 		if queued == nil {
 			r := s.opts.Jobs.Active(w.Job)
