--- a/cmd/heronwick/ratelimits.go
+++ b/cmd/heronwick/ratelimits.go
@@ -91,7 +91,7 @@
 func (c *controller) setRates() {
 	base := c.baseRates()
 	rates := state.Rates{Requests: base.requests, Writes: base.writes, BackgroundWrites: base.writes}
-	peers := c.members.Peers()
+	peers := c.members.LivePeerStatuses()
 	if unused := c.unusedRates.Load(); unused != nil && unused.short {
 		addUnusedRates(&rates, peers)
 	}
--- a/internal/cluster/peerload.go
+++ b/internal/cluster/peerload.go
@@ -122,8 +122,8 @@
 	return len(c.heardPeersLocked())
 }
 
-// Peers returns the status of each peer that was heard from lately.
-func (c *Cluster) Peers() []*peerpb.Status {
+// LivePeerStatuses returns the status of each peer that was heard from lately.
+func (c *Cluster) LivePeerStatuses() []*peerpb.Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var statuses []*peerpb.Status
