--- a/cmd/heronwick/membership.go
+++ b/cmd/heronwick/membership.go
@@ -30,7 +30,7 @@
 		LeaseDuration: c.settings.LeaseDuration,
 		CancelTimeout: c.settings.CancelTimeout,
 		Cancellations: c.jobs,
-		Slowness:      c.settings.Slowness(),
+		TimeoutFactor: c.settings.Slowness(),
 		RunMembership: c.runScheduler,
 		Status:        c.fillStatus,
 		Changed:       c.epochChanged,
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -68,7 +68,7 @@
 		opts:             opts,
 		incarnation:      rand.Uint64(),
 		startedAt:        time.Now(),
-		timeouts:         newTimeouts(opts.Slowness),
+		timeouts:         newTimeouts(opts.TimeoutFactor),
 		confirmationTTL:  ttl,
 		expiryFitsCancel: fits,
 		changed:          make(chan struct{}, 1),
--- a/internal/cluster/options.go
+++ b/internal/cluster/options.go
@@ -29,8 +29,8 @@
 	// CancelTimeout is the time from the cancellation of a job until its tasks must be
 	// gone.
 	CancelTimeout time.Duration
-	// Slowness is how many times longer than usual the controllers may be busy.
-	Slowness float64
+	// TimeoutFactor is how many times longer than usual the controllers may be busy.
+	TimeoutFactor float64
 
 	Cancellations Cancellations
 	// RunMembership runs the scheduler of a membership. Its context ends with
