--- a/cmd/heronwick/membership.go
+++ b/cmd/heronwick/membership.go
@@ -33,7 +33,7 @@
 		TimeoutFactor: c.settings.Slowness(),
 		RunMembership: c.runScheduler,
 		Status:        c.fillStatus,
-		Changed:       c.epochChanged,
+		OnChange:      c.epochChanged,
 		Weights:       c.teamWeights,
 		Progress:      c.lastProgress,
 		OnProgress:    c.recordPeerProgress,
--- a/internal/cluster/options.go
+++ b/internal/cluster/options.go
@@ -38,8 +38,8 @@
 	RunMembership func(ctx context.Context, membership *Membership) error
 	// Status fills in the scheduler's part of the status that peers are sent.
 	Status func(*peerpb.Status)
-	// Changed is called, without any lock, when the epoch or an owner changed.
-	Changed func()
+	// OnChange is called, without any lock, when the epoch or an owner changed.
+	OnChange func()
 	// Weights returns how much work each team has.
 	Weights func() map[string]float64
 	// Progress returns what to send the peers of the jobs' progress, and
--- a/internal/cluster/watch.go
+++ b/internal/cluster/watch.go
@@ -50,7 +50,7 @@
 	c.applyEvents(events)
 	if len(events.Events) > 0 {
 		c.poke()
-		c.opts.Changed()
+		c.opts.OnChange()
 	}
 	return nil
 }
@@ -70,7 +70,7 @@
 	}
 	caughtUp := c.opts.Cancellations.SyncToRevision(ctx, keys.Revision) == nil
 	if c.applyList(listing{sent: sent, items: keys.Items, revision: keys.Revision, caughtUp: caughtUp}) {
-		c.opts.Changed()
+		c.opts.OnChange()
 	}
 	return nil
 }
