--- a/internal/cluster/options.go
+++ b/internal/cluster/options.go
@@ -49,10 +49,10 @@
 	// WatchHandler follows the keys below the watched prefix that are not this
 	// package's own; optional. It is called under a lock, in the store's order.
 	WatchHandler WatchHandler
-	// Cleanup returns the conditions under which records may be removed, or an
+	// CleanupConditions returns the conditions under which records may be removed, or an
 	// error if this controller may not remove any; nil: there are none besides
 	// the epoch.
-	Cleanup func() ([]wire.Condition, error)
+	CleanupConditions func() ([]wire.Condition, error)
 }
 
 // WatchHandler mirrors the keys that the watch brings: Replace with a full list
--- a/internal/cluster/transfercleanup.go
+++ b/internal/cluster/transfercleanup.go
@@ -59,10 +59,10 @@
 // cleanupGuard returns the conditions of the removal of records besides the
 // epoch.
 func (c *Cluster) cleanupGuard() ([]wire.Condition, error) {
-	if c.opts.Cleanup == nil {
+	if c.opts.CleanupConditions == nil {
 		return nil, nil
 	}
-	return c.opts.Cleanup()
+	return c.opts.CleanupConditions()
 }
 
 // settledTransfers are transfers that decide nothing any more, as of an epoch.
