--- a/cmd/heronwick/membership.go
+++ b/cmd/heronwick/membership.go
@@ -34,7 +34,7 @@
 		RunMembership:     c.runScheduler,
 		Status:            c.fillStatus,
 		OnChange:          c.epochChanged,
-		Weights:           c.teamWeights,
+		TeamWeights:       c.teamWeights,
 		Progress:          c.lastProgress,
 		OnProgress:        c.recordPeerProgress,
 		WatchHandler:      c.duties.ledger,
--- a/internal/cluster/election.go
+++ b/internal/cluster/election.go
@@ -128,7 +128,7 @@
 		c.opts.Log.Debug("granting the leader lease failed", "err", err)
 		return
 	}
-	claim.next.assignTeams(c.opts.Weights())
+	claim.next.assignTeams(c.opts.TeamWeights())
 	revision, err := c.sendClaim(ctx, claim)
 	if err != nil {
 		c.opts.Log.Debug("claiming the epoch failed", "token", claim.next.Token, "err", err)
--- a/internal/cluster/membership.go
+++ b/internal/cluster/membership.go
@@ -70,7 +70,7 @@
 // reconcileMembership keeps the members and the assignment of teams up to date.
 // It does nothing on a controller that does not lead.
 func (c *Cluster) reconcileMembership(ctx context.Context) {
-	weights := c.opts.Weights()
+	weights := c.opts.TeamWeights()
 	proposal := c.proposeMembers(weights)
 	if proposal == nil {
 		return
--- a/internal/cluster/options.go
+++ b/internal/cluster/options.go
@@ -40,8 +40,8 @@
 	Status func(*peerpb.Status)
 	// OnChange is called, without any lock, when the epoch or an owner changed.
 	OnChange func()
-	// Weights returns how much work each team has.
-	Weights func() map[string]float64
+	// TeamWeights returns how much work each team has.
+	TeamWeights func() map[string]float64
 	// Progress returns what to send the peers of the jobs' progress, and
 	// OnProgress takes what the leader sent; both are optional, for display only.
 	Progress   func() []*peerpb.Progress
