--- a/cmd/heronwick/membership.go
+++ b/cmd/heronwick/membership.go
@@ -32,7 +32,7 @@
 		Cancellations:     c.jobs,
 		TimeoutFactor:     c.settings.Slowness(),
 		RunMembership:     c.runScheduler,
-		Status:            c.fillStatus,
+		FillStatus:        c.fillStatus,
 		OnChange:          c.epochChanged,
 		TeamWeights:       c.teamWeights,
 		Progress:          c.lastProgress,
--- a/internal/cluster/options.go
+++ b/internal/cluster/options.go
@@ -36,8 +36,8 @@
 	// RunMembership runs the scheduler of a membership. Its context ends with
 	// that membership.
 	RunMembership func(ctx context.Context, membership *Membership) error
-	// Status fills in the scheduler's part of the status that peers are sent.
-	Status func(*peerpb.Status)
+	// FillStatus fills in the scheduler's part of the status that peers are sent.
+	FillStatus func(*peerpb.Status)
 	// OnChange is called, without any lock, when the epoch or an owner changed.
 	OnChange func()
 	// TeamWeights returns how much work each team has.
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -113,7 +113,7 @@
 func (c *Cluster) status(after uint64) *peerpb.Status {
 	s := &peerpb.Status{Node: c.opts.Node, Incarnation: c.incarnation, FeatureLevel: uint32(supportedLevel),
 		StateOk: c.opts.Route.DirectHealthy(directHealthyWithin)}
-	c.opts.Status(s)
+	c.opts.FillStatus(s)
 	known := c.opts.Cancellations.KnownCancellations(after)
 	s.JobsRead, s.JobsRevision, s.JobsBase = known.Loaded, known.Revision, known.Base
 	s.Cancelled = encodeCancellations(known.Recent)
