--- a/cmd/heronwick/membership.go
+++ b/cmd/heronwick/membership.go
@@ -25,7 +25,7 @@
 		Client:            c.client,
 		Teams:             teams,
 		MaxValueBytes:     c.settings.MaxValueBytes,
-		Route:             c.transport,
+		Transport:         c.transport,
 		Peers:             peers,
 		LeaseDuration:     c.settings.LeaseDuration,
 		CancelTimeout:     c.settings.CancelTimeout,
--- a/internal/cluster/grpc.go
+++ b/internal/cluster/grpc.go
@@ -95,9 +95,9 @@
 // Service is the gRPC server that answers peers.
 type Service struct {
 	peerpb.UnimplementedPeerServer
-	Cluster *Cluster
-	Route   *state.FailoverTransport
-	Host    Host
+	Cluster   *Cluster
+	Transport *state.FailoverTransport
+	Host      Host
 }
 
 // Place implements peerpb.PeerServer.
@@ -122,7 +122,7 @@
 
 // State implements peerpb.PeerServer.
 func (s *Service) State(ctx context.Context, req *peerpb.StateRequest) (*peerpb.StateReply, error) {
-	response, err := s.Route.DoDirect(ctx, req.Method, req.Target, req.Body)
+	response, err := s.Transport.DoDirect(ctx, req.Method, req.Target, req.Body)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/cluster/options.go
+++ b/internal/cluster/options.go
@@ -12,11 +12,11 @@
 
 // Options are the settings and dependencies of a Cluster.
 type Options struct {
-	Node   string // this controller's name
-	Client *state.Client
-	Route  *state.FailoverTransport
-	Peers  map[string]PeerClient // the other controllers, by node
-	Log    *slog.Logger
+	Node      string // this controller's name
+	Client    *state.Client
+	Transport *state.FailoverTransport
+	Peers     map[string]PeerClient // the other controllers, by node
+	Log       *slog.Logger
 
 	// Teams are all configured teams.
 	Teams []string
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -112,7 +112,7 @@
 // after a revision of the store.
 func (c *Cluster) status(after uint64) *peerpb.Status {
 	s := &peerpb.Status{Node: c.opts.Node, Incarnation: c.incarnation, FeatureLevel: uint32(supportedLevel),
-		StateOk: c.opts.Route.DirectHealthy(directHealthyWithin)}
+		StateOk: c.opts.Transport.DirectHealthy(directHealthyWithin)}
 	c.opts.FillStatus(s)
 	known := c.opts.Cancellations.KnownCancellations(after)
 	s.JobsRead, s.JobsRevision, s.JobsBase = known.Loaded, known.Revision, known.Base
