--- a/cmd/heronwick/peers.go
+++ b/cmd/heronwick/peers.go
@@ -42,7 +42,7 @@
 	return p[node].Settle(ctx, req)
 }
 
-// Place implements cluster.Host.
+// Place implements cluster.PlacementHandler.
 func (c *controller) Place(req *peerpb.PlaceRequest) *peerpb.PlaceReply {
 	if s := c.scheduler.Load(); s != nil {
 		return s.Place(req)
@@ -53,7 +53,7 @@
 	return &peerpb.PlaceReply{}
 }
 
-// Settle implements cluster.Host.
+// Settle implements cluster.PlacementHandler.
 func (c *controller) Settle(req *peerpb.SettleRequest) *peerpb.SettleReply {
 	if s := c.scheduler.Load(); s != nil {
 		return s.Settle(req)
--- a/internal/cluster/grpc.go
+++ b/internal/cluster/grpc.go
@@ -85,9 +85,9 @@
 	return c.client.Tell(ctx, req)
 }
 
-// Host is the part of a member's scheduler that peers call: to place tasks on its
+// PlacementHandler is the part of a member's scheduler that peers call: to place tasks on its
 // machines and to learn what became of them.
-type Host interface {
+type PlacementHandler interface {
 	Place(req *peerpb.PlaceRequest) *peerpb.PlaceReply
 	Settle(req *peerpb.SettleRequest) *peerpb.SettleReply
 }
@@ -97,17 +97,17 @@
 	peerpb.UnimplementedPeerServer
 	Cluster   *Cluster
 	Transport *state.FailoverTransport
-	Host      Host
+	Placement PlacementHandler
 }
 
 // Place implements peerpb.PeerServer.
 func (s *Service) Place(_ context.Context, req *peerpb.PlaceRequest) (*peerpb.PlaceReply, error) {
-	return s.Host.Place(req), nil
+	return s.Placement.Place(req), nil
 }
 
 // Settle implements peerpb.PeerServer.
 func (s *Service) Settle(_ context.Context, req *peerpb.SettleRequest) (*peerpb.SettleReply, error) {
-	return s.Host.Settle(req), nil
+	return s.Placement.Settle(req), nil
 }
 
 // Beat implements peerpb.PeerServer.
