--- a/internal/scheduler/hostedattempts.go
+++ b/internal/scheduler/hostedattempts.go
@@ -19,15 +19,15 @@
 // number, which is a cheap comparison and which only tasks of the same gang share.
 func (s *Scheduler) hostedAttemptsLocked(req *peerpb.SettleRequest) map[fleet.Key]hostedAttempt {
 	numbers := remote.AttemptNumbers(req)
-	here := make(map[fleet.Key]hostedAttempt, len(numbers))
+	hosted := make(map[fleet.Key]hostedAttempt, len(numbers))
 	for _, m := range s.machines {
 		for _, a := range m.Attempts.All() {
 			if numbers[a.Attempt] {
-				here[a.Key] = hostedAttempt{m, a}
+				hosted[a.Key] = hostedAttempt{m, a}
 			}
 		}
 	}
-	return here
+	return hosted
 }
 
 // Settle reports the states of attempts that this scheduler may host, and marks those
@@ -43,14 +43,14 @@
 	}
 	reply.Ready = true
 	now := time.Now()
-	here := s.hostedAttemptsLocked(req)
+	hosted := s.hostedAttemptsLocked(req)
 	for _, attempt := range req.Handled {
-		if found := here[remote.KeyOf(attempt)]; found.attempt != nil && found.attempt.Exited() {
+		if found := hosted[remote.KeyOf(attempt)]; found.attempt != nil && found.attempt.Exited() {
 			found.attempt.Handled = true
 		}
 	}
 	for _, attempt := range req.Attempts {
-		reply.Hosted = append(reply.Hosted, s.settleAttemptLocked(attempt, here, now))
+		reply.Hosted = append(reply.Hosted, s.settleAttemptLocked(attempt, hosted, now))
 	}
 	s.deniedAttempts.Expire(now)
 	return reply
@@ -65,9 +65,9 @@
 
 // settleAttemptLocked returns the state of an attempt, and denies it from now on if it
 // is not here.
-func (s *Scheduler) settleAttemptLocked(attempt *peerpb.Attempt, here map[fleet.Key]hostedAttempt, now time.Time) *peerpb.Hosted {
+func (s *Scheduler) settleAttemptLocked(attempt *peerpb.Attempt, hosted map[fleet.Key]hostedAttempt, now time.Time) *peerpb.Hosted {
 	key := remote.KeyOf(attempt)
-	found := here[key]
+	found := hosted[key]
 	if found.attempt == nil {
 		s.deniedAttempts.Deny(key, now)
 		return &peerpb.Hosted{Attempt: attempt}
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -15,7 +15,7 @@
 const resolveRetryDelay = 300 * time.Millisecond
 
 // resolveJobLocked starts reading from the store whether a job that is not among the
-// active ones has ended or only is not known here yet. It is called for jobs that may
+// active ones has ended or is just not known here yet. It is called for jobs that may
 // have tasks on machines.
 func (s *Scheduler) resolveJobLocked(id string) {
 	if s.resolvingJobs[id] {
--- a/internal/scheduler/loop.go
+++ b/internal/scheduler/loop.go
@@ -38,10 +38,10 @@
 	}
 }
 
-// maintenance holds when the tasks of tick that run less often than each tick were last
-// run. Only the loop uses it.
+// maintenance holds when the less frequent steps of tick last ran. Only the loop uses
+// it.
 type maintenance struct {
-	logged, tidied, summarized, closed time.Time
+	logged, tidied, summarized, returnsClosed time.Time
 }
 
 // tick does the periodic work: it checks the machines, writes records that can be
@@ -59,8 +59,8 @@
 	}
 	s.flushDoneTasksLocked(now)
 	s.announceReleasesLocked()
-	if now.Sub(s.maintenance.closed) > closeReturnsInterval {
-		s.maintenance.closed = now
+	if now.Sub(s.maintenance.returnsClosed) > closeReturnsInterval {
+		s.maintenance.returnsClosed = now
 		s.closeReturnsLocked()
 	}
 	if now.Sub(s.maintenance.tidied) > tidyInterval {
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -108,8 +108,8 @@
 }
 
 // imageWaitTimeout is how long a service's task waits for other schedulers to answer
-// whether they have room on a machine that holds its image. After that it is placed on a
-// machine that must fetch the image.
+// whether they have room on a machine that holds its image. After that it may be placed
+// on a machine that must fetch the image.
 const imageWaitTimeout = 300 * time.Millisecond
 
 // awaitRemoteImageLocked reports whether a service still waits for other schedulers to
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -22,7 +22,7 @@
 // all.
 type victimSummary struct {
 	known          bool // whether the pass has computed the summary
-	lowestRank     int  // of the tasks that may be stopped, the highest rank number, that is, the lowest priority
+	lowestRank     int  // highest rank number, that is, lowest priority, of the tasks that may be stopped
 	aboveGuarantee bool // whether any team uses more than its guarantee
 }
 
--- a/internal/scheduler/remoteplacement.go
+++ b/internal/scheduler/remoteplacement.go
@@ -225,7 +225,7 @@
 	}
 	if hosted := taken[key]; hosted != nil {
 		s.setRemoteZoneLocked(a, hosted.Zone)
-		s.log.Debug("placed remotely", "task", key.Task, "attempt", key.Attempt, "to", node)
+		s.log.Debug("placed remotely", "task", key.Task, "attempt", key.Attempt, "peer", node)
 		return
 	}
 	s.untrackRemoteLocked(a)
