--- a/internal/packing/machine.go
+++ b/internal/packing/machine.go
@@ -13,46 +13,47 @@
 	*fleet.Machine
 	accepts func(now time.Time) bool
 
-	observed uint64 // the pass that has found usable and free; 0: none
-	usable   bool
-	free     placement.Resources
+	refreshedInPass uint64 // number of the pass in which usable and free were computed; 0 if they are out of date
+	usable          bool
+	free            placement.Resources
 
 	reservations []reservation
 }
 
-// NewMachine returns a machine without reservations. accepts reports whether new
-// tasks may go to it, if there is room.
+// NewMachine returns a machine without reservations. accepts reports whether the
+// machine may take new tasks, regardless of room.
 func NewMachine(m *fleet.Machine, accepts func(now time.Time) bool) *Machine {
 	return &Machine{Machine: m, accepts: accepts}
 }
 
-// RoomChanged notes that attempts were added to the machine or removed from it.
-func (m *Machine) RoomChanged() { m.observed = 0 }
+// RoomChanged must be called after attempts were added to the machine or removed
+// from it. It invalidates the cached free resources.
+func (m *Machine) RoomChanged() { m.refreshedInPass = 0 }
 
-// reservation is room on a machine that is kept for one task of a hosted job,
-// until its owner requests it again.
+// reservation is room on a machine that is kept free for one task of a hosted job
+// until the job's owner sends its next placement request.
 type reservation struct {
 	job   string
 	size  placement.Resources
 	until time.Time
 }
 
-// Reserve keeps room for one task of a hosted job.
+// Reserve reserves room for one task of a hosted job, for ReservationTimeout.
 func (m *Machine) Reserve(job string, size placement.Resources, now time.Time) {
 	m.reservations = append(m.reservations, reservation{job: job, size: size, until: now.Add(ReservationTimeout)})
 }
 
-// UseReservation ends the reservation of room for one task of the job, if
-// there is one.
+// UseReservation removes one reservation of the job, if there is one. It is called
+// when a task of the job is placed.
 func (m *Machine) UseReservation(job string) {
 	if i := slices.IndexFunc(m.reservations, func(r reservation) bool { return r.job == job }); i >= 0 {
 		m.reservations = slices.Delete(m.reservations, i, i+1)
 	}
 }
 
-// belowHalf reports whether one more replica of the size leaves services on at
-// most half of the machine.
-func (m *Machine) belowHalf(size placement.Resources) bool {
+// servicesBelowHalf reports whether service replicas would take at most half of the
+// machine if one more of the given size were placed on it.
+func (m *Machine) servicesBelowHalf(size placement.Resources) bool {
 	if m.Type == nil {
 		return false
 	}
--- a/internal/packing/packer.go
+++ b/internal/packing/packer.go
@@ -8,42 +8,43 @@
 	"heronwick/internal/queue"
 )
 
-// Scheduler is what a Packer needs of the scheduler that it belongs to. It is called
-// with the scheduler's lock held.
+// Scheduler is the part of the owning scheduler that a Packer uses. Its methods are
+// called with the scheduler's lock held.
 type Scheduler interface {
-	// Machines yields all machines of the scheduler, in no order.
+	// Machines yields all machines of the scheduler, in no particular order.
 	Machines() iter.Seq[*Machine]
-	// AnyMachine reports whether condition holds for any machine. It is called for
-	// each task that is placed, where an iterator's allocations would show.
+	// AnyMachine reports whether condition is true for any machine. It takes a
+	// function because it is called for each placed task, where the allocations of
+	// an iterator would cost noticeable time.
 	AnyMachine(condition func(*Machine) bool) bool
-	// Owns reports whether a machine is still among them.
+	// Owns reports whether the scheduler still owns the machine.
 	Owns(m *Machine) bool
-	// MaxAttempts is how many attempts a machine may have.
+	// MaxAttempts returns the maximum number of attempts on one machine.
 	MaxAttempts() int
 }
 
-// Packer finds machines for tasks.
+// Packer chooses machines for tasks.
 type Packer struct {
-	// Open are the machines with tasks, the most recently used first.
+	// Open lists the machines that have tasks, the most recently used first.
 	Open      placement.List[*Machine]
 	scheduler Scheduler
 	pass      pass
 }
 
-// New returns a Packer for the machines of scheduler, none of them open.
+// New returns a Packer for the machines of the scheduler, with no machine open.
 func New(scheduler Scheduler) *Packer { return &Packer{scheduler: scheduler} }
 
-// Fits reports whether the next task of the job may go to the machine and finds
-// room there beside what is reserved for others.
+// Fits reports whether the machine is allowed for the next task of the job and has
+// room for it that is not reserved for other jobs.
 func (p *Packer) Fits(queued *queue.Job, m *Machine, now time.Time) bool {
-	if p.observe(m, now); !m.usable || !queued.Size.Within(m.free) {
+	if p.refresh(m, now); !m.usable || !queued.Size.Within(m.free) {
 		return false
 	}
 	return (len(m.reservations) == 0 || queued.Size.Within(p.unreserved(m, queued.Record.Job.ID, now))) && p.Allows(queued, m)
 }
 
-// Allows reports whether the next task of the job may go to the machine, whether
-// or not there is room.
+// Allows reports whether the next task of the job may be placed on the machine,
+// regardless of room.
 func (p *Packer) Allows(queued *queue.Job, m *Machine) bool {
 	if !placement.Allows(&queued.Record.Job, m.Place(), placement.Spread{ByZone: queued.Zones}) {
 		return false
@@ -54,27 +55,27 @@
 	return m.Attempts.Len() < p.scheduler.MaxAttempts()
 }
 
-// fits returns Fits for one job, to walk the machines with.
+// fits returns Fits for one job as a predicate on machines.
 func (p *Packer) fits(queued *queue.Job, now time.Time) func(*Machine) bool {
 	return func(m *Machine) bool { return p.Fits(queued, m, now) }
 }
 
-// FindWithImage chooses among machines that hold the job's image, which come first
-// since a fetch takes longer than all the rest of a start: the most recently
-// used one that fits, else an idle one, which it opens. A service goes to one
-// that is not half full of services before others. It returns nil if there is
-// none.
+// FindWithImage returns a machine that holds the job's image, or nil if none fits.
+// Such machines are searched before all others, since fetching the image takes longer
+// than all other steps of a task's start. The most recently used open machine that
+// fits comes first, then an idle one, which is opened. For a service, machines of
+// which services take at most half are preferred.
 func (p *Packer) FindWithImage(queued *queue.Job, now time.Time) *Machine {
-	if p.lacksRoom(queued.Size, now) {
+	if p.noMachineHasRoom(queued.Size, now) {
 		return nil
 	}
 	fits := p.fits(queued, now)
-	holds := func(m *Machine) bool { return fits(m) && m.HasImage(queued.Record.Job.Image) }
-	preferred := holds
+	fitsWithImage := func(m *Machine) bool { return fits(m) && m.HasImage(queued.Record.Job.Image) }
+	preferred := fitsWithImage
 	if queued.IsService() {
-		preferred = func(m *Machine) bool { return holds(m) && m.belowHalf(queued.Size) }
+		preferred = func(m *Machine) bool { return fitsWithImage(m) && m.servicesBelowHalf(queued.Size) }
 	}
-	if m, ok := p.Open.Walk(preferred); ok {
+	if m, ok := p.Open.FindAndMoveToFront(preferred); ok {
 		return m
 	}
 	if idle := p.FindIdle(queued, now); idle != nil && idle.HasImage(queued.Record.Job.Image) {
@@ -82,25 +83,26 @@
 		return idle
 	}
 	if queued.IsService() {
-		if m, ok := p.Open.Walk(holds); ok {
+		if m, ok := p.Open.FindAndMoveToFront(fitsWithImage); ok {
 			return m
 		}
 	}
 	return nil
 }
 
-// FindAny chooses among all machines in the same way. Replicas stacked on one
-// machine are all lost with it, and their images are then nowhere else: as long
-// as another machine can take a replica, they fill half of one at most.
+// FindAny returns a machine for the job in the same order as FindWithImage, whether or
+// not it holds the image. Replicas take at most half of a machine as long as another
+// machine can take them: if one machine held them all, its failure would stop all of
+// them, and no other machine would have their images cached.
 func (p *Packer) FindAny(queued *queue.Job, now time.Time) *Machine {
-	if p.lacksRoom(queued.Size, now) {
+	if p.noMachineHasRoom(queued.Size, now) {
 		return nil
 	}
 	fits := p.fits(queued, now)
 	idle := p.FindIdle(queued, now)
 	if queued.IsService() {
-		roomy := func(m *Machine) bool { return fits(m) && m.belowHalf(queued.Size) }
-		if m, ok := p.Open.Walk(roomy); ok {
+		belowHalf := func(m *Machine) bool { return fits(m) && m.servicesBelowHalf(queued.Size) }
+		if m, ok := p.Open.FindAndMoveToFront(belowHalf); ok {
 			return m
 		}
 		if idle != nil {
@@ -108,7 +110,7 @@
 			return idle
 		}
 	}
-	if m, ok := p.Open.Walk(fits); ok {
+	if m, ok := p.Open.FindAndMoveToFront(fits); ok {
 		return m
 	}
 	if idle != nil {
@@ -117,8 +119,8 @@
 	return idle
 }
 
-// FindIdle returns the idle machine to open for the job, without opening it: one
-// that holds its image before others; nil if there is none.
+// FindIdle returns an idle machine for the job without opening it, or nil if none
+// fits. Machines that hold the job's image are preferred.
 func (p *Packer) FindIdle(queued *queue.Job, now time.Time) *Machine {
 	var first *Machine
 	for _, m := range p.idleMachines(now) {
@@ -135,9 +137,9 @@
 	return first
 }
 
-// HasRoom reports whether any machine takes a task of the job.
+// HasRoom reports whether any machine fits the next task of the job.
 func (p *Packer) HasRoom(queued *queue.Job, now time.Time) bool {
-	if p.lacksRoom(queued.Size, now) {
+	if p.noMachineHasRoom(queued.Size, now) {
 		return false
 	}
 	if p.FindIdle(queued, now) != nil {
--- a/internal/packing/pass.go
+++ b/internal/packing/pass.go
@@ -9,22 +9,21 @@
 	"heronwick/internal/queue"
 )
 
-// pass is what one pass over the queue has found out and need not find out
-// again for each task of each job: nothing but its own placements changes
-// meanwhile. It never changes which machine is chosen, only how often one is
-// examined.
+// pass caches the findings of one pass over the queue, so that they are not computed
+// again for each task of each job. That is valid because only the pass's own
+// placements change the machines meanwhile. The cache never affects which machine is
+// chosen, only how often machines are examined.
 type pass struct {
 	number uint64
-	idle   []*Machine                   // usable and not open, in the order of opening; nil: not searched yet
-	full   map[taskClass]bool           // no machine takes a task of the class
-	lacks  map[placement.Resources]bool // no machine has room for the size, wherever it may go
-	// reserved counts, by job, the hosted tasks that room is reserved for; nil:
-	// not counted yet.
+	idle   []*Machine                   // usable machines that were not open, in the order in which to open them; nil if not searched yet
+	full   map[taskClass]bool           // classes of which no machine can take a task
+	noRoom map[placement.Resources]bool // sizes for which no machine has room, regardless of placement constraints
+	// reserved is the number of reservations by hosted job; nil if not counted yet.
 	reserved map[string]int
 }
 
-// taskClass is all that decides where a task may go, of jobs that are not bound
-// to where their other tasks are.
+// taskClass holds everything that determines where a task may be placed, for jobs
+// whose placement depends neither on their other tasks nor on earlier failures.
 type taskClass struct {
 	size  placement.Resources
 	spot  bool
@@ -32,8 +31,8 @@
 	types string
 }
 
-// classOf returns the class of a job's tasks; ok is false for a job whose tasks
-// are bound to more than that.
+// classOf returns the class of the job's tasks. ok is false if their placement depends
+// on more than the class holds.
 func classOf(queued *queue.Job) (class taskClass, ok bool) {
 	j := &queued.Record.Job
 	if j.Spread || j.OneZone || queued.HasFailed() {
@@ -49,61 +48,64 @@
 	return class, true
 }
 
-// BeginPass forgets what the last pass has found.
+// BeginPass begins a new pass and discards the findings of the last one.
 func (p *Packer) BeginPass() {
-	p.pass = pass{number: p.pass.number + 1, full: map[taskClass]bool{}, lacks: map[placement.Resources]bool{}}
+	p.pass = pass{number: p.pass.number + 1, full: map[taskClass]bool{}, noRoom: map[placement.Resources]bool{}}
 }
 
-// RoomFreed notes that there is more room again than the pass has found.
+// RoomFreed must be called when room was freed during a pass. It discards the findings
+// that there is no room.
 func (p *Packer) RoomFreed() {
 	clear(p.pass.full)
-	clear(p.pass.lacks)
+	clear(p.pass.noRoom)
 }
 
-// Full reports whether the pass has found that no machine takes a task of the job.
+// Full reports whether no machine can take a task of the job, according to the findings
+// of the pass or to the free resources of all machines.
 func (p *Packer) Full(queued *queue.Job, now time.Time) bool {
 	class, ok := classOf(queued)
-	return ok && p.pass.full[class] || p.lacksRoom(queued.Size, now)
+	return ok && p.pass.full[class] || p.noMachineHasRoom(queued.Size, now)
 }
 
-// SetFull notes that no machine takes a task of the job.
+// SetFull records that no machine can take a task of the job.
 func (p *Packer) SetFull(queued *queue.Job) {
 	if class, ok := classOf(queued); ok {
 		p.pass.full[class] = true
 	}
 }
 
-// lacksRoom reports whether no machine has room for a task of the size: it need
-// not be walked for, whatever it is bound to.
-func (p *Packer) lacksRoom(size placement.Resources, now time.Time) bool {
-	if p.pass.lacks[size] {
+// noMachineHasRoom reports whether no machine has room for a task of the size, in which
+// case no further search is needed whatever the job's placement constraints are.
+func (p *Packer) noMachineHasRoom(size placement.Resources, now time.Time) bool {
+	if p.pass.noRoom[size] {
 		return true
 	}
 	hasRoom := func(m *Machine) bool {
-		p.observe(m, now)
+		p.refresh(m, now)
 		return m.usable && size.Within(m.free)
 	}
 	if p.scheduler.AnyMachine(hasRoom) {
 		return false
 	}
-	p.pass.lacks[size] = true
+	p.pass.noRoom[size] = true
 	return true
 }
 
-// observe brings up to date what the pass knows of a machine.
-func (p *Packer) observe(m *Machine, now time.Time) {
-	if m.observed == p.pass.number && m.observed > 0 {
+// refresh computes the machine's usable and free fields, unless this has been done in
+// the current pass and its room has not changed since.
+func (p *Packer) refresh(m *Machine, now time.Time) {
+	if m.refreshedInPass == p.pass.number && m.refreshedInPass > 0 {
 		return
 	}
-	m.observed, m.usable, m.free = p.pass.number, m.accepts(now), placement.Resources{}
+	m.refreshedInPass, m.usable, m.free = p.pass.number, m.accepts(now), placement.Resources{}
 	if m.usable {
 		m.free, m.usable = m.Room()
 	}
 }
 
-// idleMachines returns the machines that were usable and not open when the
-// pass first needed them, spot ones before ordinary ones, which other jobs may need,
-// then by name.
+// idleMachines returns the machines that were usable and not open when the pass first
+// needed them, sorted by name, but spot machines before ordinary ones, since ordinary
+// machines may be needed for jobs that do not allow spot machines.
 func (p *Packer) idleMachines(now time.Time) []*Machine {
 	if p.pass.idle != nil {
 		return p.pass.idle
@@ -113,7 +115,7 @@
 		if p.Open.Has(m) {
 			continue
 		}
-		if p.observe(m, now); m.usable {
+		if p.refresh(m, now); m.usable {
 			p.pass.idle = append(p.pass.idle, m)
 		}
 	}
--- a/internal/placement/list.go
+++ b/internal/placement/list.go
@@ -19,8 +19,8 @@
 	return machine, false
 }
 
-// Walk returns the first machine that fits and moves it to the front.
-func (l *List[M]) Walk(fits func(machine M) bool) (machine M, ok bool) {
+// FindAndMoveToFront returns the first machine that fits and moves it to the front.
+func (l *List[M]) FindAndMoveToFront(fits func(machine M) bool) (machine M, ok bool) {
 	machine, ok = l.Find(fits)
 	if ok {
 		l.MoveToFront(machine)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -11,8 +11,8 @@
 	CPUs, GPUs, MemoryGB float64
 }
 
-// slack absorbs the rounding errors of sums of decimal numbers.
-const slack = 1e-6
+// tolerance absorbs the rounding errors of sums of decimal numbers.
+const tolerance = 1e-6
 
 // Plus returns the sum of two resources.
 func (r Resources) Plus(other Resources) Resources {
@@ -31,7 +31,7 @@
 
 // Within reports whether r fits into room in every resource.
 func (r Resources) Within(room Resources) bool {
-	return r.CPUs <= room.CPUs+slack && r.GPUs <= room.GPUs+slack && r.MemoryGB <= room.MemoryGB+slack
+	return r.CPUs <= room.CPUs+tolerance && r.GPUs <= room.GPUs+tolerance && r.MemoryGB <= room.MemoryGB+tolerance
 }
 
 // TaskResources returns the resources that each task of the job takes.
--- a/internal/queue/doc.go
+++ b/internal/queue/doc.go
@@ -1,8 +1,9 @@
-// Package queue is a scheduler's admission queue: its jobs with their tasks
-// that wait to be placed, the order in which they are served, and how much the
-// teams use of their guarantees and limits. It knows of no machines: where a
-// task fits is the scheduler's to find out.
+// Package queue is a scheduler's admission queue: the jobs with their pending
+// tasks, the order in which jobs are served, and how much of its guarantee and
+// limit each team uses. It has no knowledge of machines: the scheduler decides
+// where a task fits.
 //
-// Nothing in it is safe for concurrent use: the scheduler's lock guards it,
-// since a task leaves the queue and is booked on a machine in one step.
+// Nothing in this package is safe for concurrent use: the scheduler's lock
+// guards it, because removing a task from the queue and booking it on a machine
+// must be one atomic step.
 package queue
--- a/internal/queue/job.go
+++ b/internal/queue/job.go
@@ -10,66 +10,66 @@
 	"heronwick/wire"
 )
 
-// ImagePolicy says on which machines room is looked for.
+// ImagePolicy selects the machines that are searched for room for a task.
 type ImagePolicy int
 
 const (
-	// ImageOptional permits all machines: one without the job's image fetches it.
+	// ImageOptional permits all machines; a machine without the job's image fetches it.
 	ImageOptional ImagePolicy = iota
 	// ImageRequired permits only machines that hold the job's image.
 	ImageRequired
-	imagePolicies // how many there are
+	imagePolicyCount // number of policies
 )
 
-// Job is a job of the queue: one of the scheduler's own, or a hosted one, of
-// which another scheduler requests that tasks be placed here.
+// Job is a queued job. It is either owned by this scheduler or hosted: owned by
+// another scheduler, which requests that some of its tasks be placed here.
 type Job struct {
 	Record *job.Record
-	Size   placement.Resources // of one task
+	Size   placement.Resources // resources of one task
 
-	DominantShare float64 // the largest part of a machine that a task takes
+	DominantShare float64 // fraction of a machine that a task takes, see dominantShare
 	AcceptedAt    time.Time
-	Objectives    []time.Duration // within what time it is wanted, from EligibleAt on
+	Objectives    []time.Duration // wanted times to completion, counted from EligibleAt
 
-	// Ready, EligibleAt, EffectivePriority and Deadline follow from its
-	// dependencies, see SetReadiness.
-	Ready             bool      // all jobs that it needs are done
-	EligibleAt        time.Time // when it was accepted, or became ready
-	EffectivePriority int       // of itself or of a job that needs it; 0 is the highest
-	Deadline          time.Time // of itself or of a job that needs it; zero: none
+	// Ready, EligibleAt, EffectivePriority and Deadline are derived from the
+	// dependency graph, see SetReadiness.
+	Ready             bool      // all jobs that it depends on are done
+	EligibleAt        time.Time // the later of its acceptance and the time when it became ready
+	EffectivePriority int       // highest among the job and its dependents; 0 is the highest possible
+	Deadline          time.Time // earliest among the job and its dependents; zero if there is none
 
-	next  int            // tasks from here on were never queued for another try
-	retry []int          // tasks to place again
-	live  map[int]int    // by task, the attempts that may be on a machine
-	Zones map[string]int // by zone, the attempts that may be there
+	next  int            // index of the first task that has never left the queue
+	retry []int          // indexes of tasks to place again after their attempts have ended
+	live  map[int]int    // by task index, the number of attempts that may be on a machine
+	Zones map[string]int // by zone, the number of attempts that may be there
 
 	Done      *completion.Job
-	Finishing bool // the job's end is being written
+	Finishing bool // the job's completion is being written to the store
 
-	failedOn  map[string]bool // machines on which tasks failed
-	Succeeded bool            // a task of it has succeeded
-	NotBefore time.Time       // no task of it is placed before then
+	failedOn  map[string]bool // names of the machines on which tasks of the job have failed
+	Succeeded bool            // at least one task has succeeded
+	NotBefore time.Time       // backoff after failures: no task is placed earlier
 
-	UnplacedSince   time.Time                // since when a task has found no room; zero: none waits
-	ImageFetchTime  time.Duration            // about how long its image takes to fetch
-	DeferredSince   time.Time                // since when it leaves room where its image is not to others; zero: it does not
-	ImageWaitSince  time.Time                // since when room beside its image is requested from other schedulers
-	PreemptedAt     time.Time                // when tasks were last stopped for this job
-	NoVictimFoundAt [imagePolicies]time.Time // when no task was last found to stop, by the machines searched
+	UnplacedSince   time.Time                   // when a pending task first found no room; zero if none is waiting for room
+	ImageFetchTime  time.Duration               // estimated time to fetch its image
+	DeferredSince   time.Time                   // when it began to leave machines without its image to other jobs; zero if it does not
+	ImageWaitSince  time.Time                   // when it began to wait for other schedulers to offer room on machines with its image
+	PreemptedAt     time.Time                   // when tasks were last preempted for this job
+	NoVictimFoundAt [imagePolicyCount]time.Time // by image policy, when the last search found no task to preempt
 
 	ReportedProgress  job.Progress
 	ProgressChangedAt time.Time // when ReportedProgress last changed
 
-	RequestedTasks int // tasks in placement requests that are under way
+	RequestedTasks int // number of tasks in placement requests in flight
 
 	Hosted           bool
-	OwnerGuaranteed  bool      // hosted: its owner says that it is within its team's guarantee
-	OwnerUnplaced    int       // hosted: how many of its tasks its owner has no room for
-	OwnerRequestedAt time.Time // hosted: when it last requested room for them
+	OwnerGuaranteed  bool      // hosted jobs: its owner reports that it is within its team's guarantee
+	OwnerUnplaced    int       // hosted jobs: number of tasks for which its owner has no room
+	OwnerRequestedAt time.Time // hosted jobs: when its owner last requested room for them
 }
 
-// NewJob returns a job none of whose tasks is placed or done. objectives are
-// those of all classes, types the machine types by name.
+// NewJob returns a job with no task placed or done. objectives holds the
+// objectives of all classes, types the machine types by name.
 func NewJob(r *job.Record, objectives []config.Objective, types map[string]*wire.MachineType) *Job {
 	size := placement.TaskResources(&r.Job)
 	return &Job{
@@ -79,9 +79,9 @@
 	}
 }
 
-// SetReadiness takes what the job's place in its dependency graph says of it:
-// whether its tasks may start, since when its objectives count, and how urgent
-// it is.
+// SetReadiness applies what follows from the job's position in the dependency
+// graph: whether its tasks may start, the time from which its objectives count,
+// and its effective priority and deadline.
 func (j *Job) SetReadiness(readiness job.Readiness) {
 	j.Ready, j.EffectivePriority, j.Deadline = readiness.Ready, readiness.Rank, readiness.Due
 	j.EligibleAt = j.AcceptedAt
@@ -90,12 +90,12 @@
 	}
 }
 
-// defaultObjective is within what time jobs of a class without objectives are
-// wanted.
+// defaultObjective is the objective of jobs whose class has none.
 const defaultObjective = time.Minute
 
-// objectivesOf is within what time the job's users want it, as far as its class
-// says; a deadline of its own stands for those.
+// objectivesOf returns the objectives of the job's class, or defaultObjective if
+// the class has none. A job with its own deadline has no objectives: the deadline
+// replaces them.
 func objectivesOf(j *wire.Job, objectives []config.Objective) []time.Duration {
 	if j.DeadlineS != nil {
 		return nil
@@ -112,25 +112,26 @@
 	return all
 }
 
-// dominantShare is the largest part of any resource of a machine that a task of
-// the size takes, on the machine type where that is least.
+// dominantShare returns the largest fraction that a task of the size takes of any
+// resource of a machine, for the machine type on which this fraction is smallest.
 func dominantShare(size placement.Resources, types map[string]*wire.MachineType) float64 {
-	least := 1.0
+	smallest := 1.0
 	for _, t := range types {
 		capacity := placement.Capacity(t)
-		part := max(size.CPUs/max(capacity.CPUs, 1e-9), size.MemoryGB/max(capacity.MemoryGB, 1e-9))
+		share := max(size.CPUs/max(capacity.CPUs, 1e-9), size.MemoryGB/max(capacity.MemoryGB, 1e-9))
 		if capacity.GPUs > 0 {
-			part = max(part, size.GPUs/capacity.GPUs)
+			share = max(share, size.GPUs/capacity.GPUs)
 		}
-		least = min(least, part)
+		smallest = min(smallest, share)
 	}
-	return least
+	return smallest
 }
 
-// maxImageFetchTime bounds what is taken for the time of a fetch.
+// maxImageFetchTime caps the estimated time to fetch an image.
 const maxImageFetchTime = 10 * time.Second
 
-// imageFetchTime is about how long a machine takes to fetch a job's image.
+// imageFetchTime estimates how long a machine takes to fetch the job's image: the
+// longest time over all machine types, at most maxImageFetchTime.
 func imageFetchTime(j *wire.Job, types map[string]*wire.MachineType) time.Duration {
 	longest := time.Duration(0)
 	for _, t := range types {
@@ -141,7 +142,7 @@
 	return min(longest, maxImageFetchTime)
 }
 
-// IsService reports whether the job's tasks run until it is cancelled.
+// IsService reports whether the job is a service, whose tasks run until it is cancelled.
 func (j *Job) IsService() bool { return j.Record.Job.Kind == wire.KindService }
 
 // Eligible reports whether tasks of the job may be placed now.
--- a/internal/queue/tasks.go
+++ b/internal/queue/tasks.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Pending counts the job's tasks that are neither done nor possibly on a
-// machine.
+// Pending returns the number of tasks that are not done and have no attempt that
+// may be on a machine.
 func (j *Job) Pending() int {
 	return j.Record.Job.Tasks - j.Done.Count - len(j.live)
 }
 
-// Unplaced counts the pending tasks and those that another scheduler is requested
-// to take.
+// Unplaced returns the number of pending tasks plus those in placement requests
+// to other schedulers that are in flight.
 func (j *Job) Unplaced() int { return j.Pending() + j.RequestedTasks }
 
-// Served counts the job's tasks that are done or may be on a machine.
+// Served returns the number of tasks that are done or may be on a machine.
 func (j *Job) Served() int {
 	if j.Hosted {
 		return j.Record.Job.Tasks - j.OwnerUnplaced
@@ -20,17 +20,18 @@
 	return j.Record.Job.Tasks - j.Pending()
 }
 
-// NextTask returns the next task to place and leaves it queued.
+// NextTask returns the next task to place without removing it from the queue. Tasks
+// to place again come before those that were never placed.
 func (j *Job) NextTask() (index int, ok bool) {
 	for len(j.retry) > 0 {
 		last := j.retry[len(j.retry)-1]
-		if j.waits(last) {
+		if j.needsPlacement(last) {
 			return last, true
 		}
 		j.retry = j.retry[:len(j.retry)-1]
 	}
 	for j.next < j.Record.Job.Tasks {
-		if j.waits(j.next) {
+		if j.needsPlacement(j.next) {
 			return j.next, true
 		}
 		j.next++
@@ -38,10 +39,11 @@
 	return 0, false
 }
 
-// waits reports whether the task is neither done nor possibly on a machine.
-func (j *Job) waits(index int) bool { return j.live[index] == 0 && !j.Done.Has(index) }
+// needsPlacement reports whether the task is not done and has no attempt that may be
+// on a machine.
+func (j *Job) needsPlacement(index int) bool { return j.live[index] == 0 && !j.Done.Has(index) }
 
-// Dequeue removes the task that NextTask returned from the queue.
+// Dequeue removes from the queue the task that NextTask returned last.
 func (j *Job) Dequeue() {
 	if len(j.retry) > 0 {
 		j.retry = j.retry[:len(j.retry)-1]
@@ -50,21 +52,20 @@
 	j.next++
 }
 
-// AttemptAdded counts an attempt of the task that may be on a machine in the
-// zone.
+// AttemptAdded records that an attempt of the task may be on a machine in the zone.
 func (j *Job) AttemptAdded(index int, zone string) {
 	j.live[index]++
 	j.Zones[zone]++
 }
 
-// AttemptMoved counts an attempt in another zone than before.
+// AttemptMoved records that an attempt is in another zone than recorded before.
 func (j *Job) AttemptMoved(from, to string) {
 	j.Zones[from]--
 	j.Zones[to]++
 }
 
-// AttemptRemoved uncounts an attempt that is surely gone. Its task is queued
-// again, unless it is done or another attempt of it may be on a machine.
+// AttemptRemoved records that an attempt can no longer be on a machine. Its task is
+// queued again unless it is done or has another attempt that may be on a machine.
 func (j *Job) AttemptRemoved(index int, zone string) {
 	j.Zones[zone]--
 	if j.live[index]--; j.live[index] <= 0 {
@@ -78,46 +79,48 @@
 // HasAttempt reports whether an attempt of the task may be on a machine.
 func (j *Job) HasAttempt(index int) bool { return j.live[index] > 0 }
 
-// LiveTasks counts the tasks of which an attempt may be on a machine.
+// LiveTasks returns the number of tasks with an attempt that may be on a machine.
 func (j *Job) LiveTasks() int { return len(j.live) }
 
 const (
-	// failedMachines is on how many machines a job must have failed, without a
-	// success, to count as failing everywhere.
-	failedMachines = 2
-	// maxFailureWait bounds how long a job that fails everywhere waits.
-	maxFailureWait = 30 * time.Second
-	// maxFailureDoublings bounds how often the wait after a failure is doubled.
-	maxFailureDoublings = 5
+	// minFailedMachines is the number of machines on which tasks of a job must have
+	// failed, with no task succeeding, for the job to count as failing everywhere.
+	minFailedMachines = 2
+	// maxFailureBackoff caps the backoff of a job that fails everywhere.
+	maxFailureBackoff = 30 * time.Second
+	// maxBackoffDoublings caps how often the backoff is doubled, so that the shift
+	// cannot overflow.
+	maxBackoffDoublings = 5
 )
 
-// AddFailure notes that a task has failed on the machine. A job that fails on
-// several machines and succeeds on none is tried again ever later.
+// AddFailure records that a task has failed on the machine. A job that fails
+// everywhere is retried with exponential backoff.
 func (j *Job) AddFailure(machine string, now time.Time) {
 	j.failedOn[machine] = true
 	if n := len(j.failedOn); j.FailsEverywhere() {
-		j.NotBefore = now.Add(min(maxFailureWait, time.Second<<min(n-failedMachines, maxFailureDoublings)))
+		j.NotBefore = now.Add(min(maxFailureBackoff, time.Second<<min(n-minFailedMachines, maxBackoffDoublings)))
 	}
 }
 
 // HasFailed reports whether a task has failed on any machine.
 func (j *Job) HasFailed() bool { return len(j.failedOn) > 0 }
 
-// FailsEverywhere reports whether the job itself rather than a machine seems to
-// be the reason for its failures.
-func (j *Job) FailsEverywhere() bool { return len(j.failedOn) >= failedMachines && !j.Succeeded }
+// FailsEverywhere reports whether the failures are more likely caused by the job
+// itself than by a machine: it failed on several machines and succeeded on none.
+func (j *Job) FailsEverywhere() bool { return len(j.failedOn) >= minFailedMachines && !j.Succeeded }
 
-// Avoids reports whether the machine rather than the job seems to be the reason
-// for a failure of the job there.
+// Avoids reports whether the job must not be placed on the machine: a task failed
+// there, and the machine is a more likely cause than the job.
 func (j *Job) Avoids(machine string) bool { return j.failedOn[machine] && !j.FailsEverywhere() }
 
-// rentAfter is how long a task must have found no room to be rented for.
-const rentAfter = 300 * time.Millisecond
+// rentalDelay is how long a job's tasks must have been without room before machines
+// are rented for them.
+const rentalDelay = 300 * time.Millisecond
 
-// RentalDemand tells for how many tasks of an own job machines should be
-// rented.
+// RentalDemand returns the number of tasks for which machines should be rented. It
+// applies to jobs that this scheduler owns.
 func (j *Job) RentalDemand(now time.Time) int {
-	if j.UnplacedSince.IsZero() || now.Sub(j.UnplacedSince) <= rentAfter || j.FailsEverywhere() {
+	if j.UnplacedSince.IsZero() || now.Sub(j.UnplacedSince) <= rentalDelay || j.FailsEverywhere() {
 		return 0
 	}
 	return j.Unplaced()
--- a/internal/queue/teams.go
+++ b/internal/queue/teams.go
@@ -7,14 +7,14 @@
 	"heronwick/internal/placement"
 )
 
-// Teams is how much each team's tasks use, and what it is guaranteed and
-// limited to. All that may still be on a machine counts as used.
+// Teams tracks the resource usage of each team against its guarantee and limit. A
+// task counts as used as long as it may be on a machine.
 type Teams struct {
 	settings map[string]config.Team
 	used     map[string]placement.Resources
 }
 
-// NewTeams returns teams that use nothing yet.
+// NewTeams returns the teams with no usage.
 func NewTeams(settings []config.Team) *Teams {
 	t := &Teams{settings: map[string]config.Team{}, used: map[string]placement.Resources{}}
 	for _, team := range settings {
@@ -23,19 +23,19 @@
 	return t
 }
 
-// Add counts a task of the size as used by the team.
+// Add adds a task of the size to the team's usage.
 func (t *Teams) Add(team string, size placement.Resources) { t.used[team] = t.used[team].Plus(size) }
 
-// Remove uncounts a task that is surely gone.
+// Remove subtracts from the team's usage a task that can no longer be on a machine.
 func (t *Teams) Remove(team string, size placement.Resources) {
 	t.used[team] = t.used[team].Minus(size)
 }
 
-// Used returns what the team uses.
+// Used returns the team's usage.
 func (t *Teams) Used(team string) placement.Resources { return t.used[team] }
 
 // Guaranteed reports whether one more task of the job stays within its team's
-// guarantee. Of a hosted job its owner says so.
+// guarantee. For a hosted job it returns what the job's owner reported.
 func (t *Teams) Guaranteed(j *Job) bool {
 	if j.Hosted {
 		return j.OwnerGuaranteed
@@ -45,22 +45,22 @@
 	return after.CPUs <= team.CPUs && after.GPUs <= team.GPUs
 }
 
-// WithinLimit reports whether so many more tasks of the job stay within its
-// team's limit.
+// WithinLimit reports whether the given number of additional tasks of the job stays
+// within its team's limit.
 func (t *Teams) WithinLimit(j *Job, tasks int) bool {
 	team := t.settings[j.Record.Job.Team]
 	after := t.used[j.Record.Job.Team].Plus(j.Size.Times(float64(tasks)))
 	return (team.CPUsMax == 0 || after.CPUs <= team.CPUsMax) && (team.GPUsMax == 0 || after.GPUs <= team.GPUsMax)
 }
 
-// AboveGuarantee reports whether a team that has a guarantee or a limit uses more
-// CPUs than it is guaranteed.
+// AboveGuarantee reports whether the team uses more CPUs than its guarantee. It is
+// false for a team with neither a guarantee nor a limit on CPUs.
 func (t *Teams) AboveGuarantee(name string) bool {
 	team := t.settings[name]
 	return (team.CPUs > 0 || team.CPUsMax > 0) && t.used[name].CPUs > team.CPUs
 }
 
-// AnyAboveGuarantee reports whether AboveGuarantee holds for any team.
+// AnyAboveGuarantee reports whether AboveGuarantee is true for any team.
 func (t *Teams) AnyAboveGuarantee() bool {
 	for name := range t.settings {
 		if t.AboveGuarantee(name) {
