--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -1,4 +1,4 @@
-// Package placement holds the rules of which task may run on which machine, and the
-// Move To Front list of open machines, the bin-packing heuristic that places tasks.
-// It does no I/O and reads no clock.
+// Package placement holds the rules for which machines a task may run on, and the list
+// of open machines for Move To Front, the bin-packing heuristic by which tasks are
+// placed. It does no I/O and reads no clock.
 package placement
--- a/internal/placement/list.go
+++ b/internal/placement/list.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// List is a Move To Front list of the open machines, those that have a task: the most
-// recently used first. Its zero value is empty.
+// List is the Move To Front list of open machines, which are the machines that have
+// tasks. The most recently used machine is first. The zero value is an empty list.
 type List[M comparable] struct {
 	machines []M
-	open     map[M]bool // the same machines
+	open     map[M]bool // the same machines as a set
 }
 
-// Find returns the first machine that fits and leaves the list as it is.
+// Find returns the first machine that fits, without changing the list.
 func (l *List[M]) Find(fits func(machine M) bool) (machine M, ok bool) {
 	for _, m := range l.machines {
 		if fits(m) {
@@ -19,7 +19,8 @@
 	return machine, false
 }
 
-// FindAndMoveToFront returns the first machine that fits and moves it to the front.
+// FindAndMoveToFront returns the first machine that fits and moves it to the front of
+// the list.
 func (l *List[M]) FindAndMoveToFront(fits func(machine M) bool) (machine M, ok bool) {
 	machine, ok = l.Find(fits)
 	if ok {
@@ -28,7 +29,7 @@
 	return machine, ok
 }
 
-// MoveToFront puts a machine first; one that is not in the list is added.
+// MoveToFront moves a machine to the front of the list, adding it if it is missing.
 func (l *List[M]) MoveToFront(machine M) {
 	at := len(l.machines)
 	if l.Has(machine) {
@@ -40,7 +41,7 @@
 	l.machines[0] = machine
 }
 
-// Append adds a machine at the end, unless it is in the list.
+// Append adds a machine at the end of the list, unless it is in the list already.
 func (l *List[M]) Append(machine M) {
 	if l.Has(machine) {
 		return
@@ -52,7 +53,8 @@
 	l.machines = append(l.machines, machine)
 }
 
-// Close removes a machine whose last task has ended.
+// Close removes a machine from the list, if it is there. It is called when the last
+// task of the machine has ended.
 func (l *List[M]) Close(machine M) {
 	if !l.Has(machine) {
 		return
@@ -65,5 +67,5 @@
 // Has reports whether the machine is in the list.
 func (l *List[M]) Has(machine M) bool { return l.open[machine] }
 
-// Order returns a copy of the list, front first.
+// Order returns a copy of the list, from front to back.
 func (l *List[M]) Order() []M { return slices.Clone(l.machines) }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -6,35 +6,35 @@
 	"heronwick/wire"
 )
 
-// Resources are the resources that a machine has or a task takes.
+// Resources is an amount of each resource, which a machine has or a task takes.
 type Resources struct {
 	CPUs, GPUs, MemoryGB float64
 }
 
-// tolerance absorbs the rounding errors of sums of decimal numbers.
+// tolerance absorbs the rounding errors of floating-point sums.
 const tolerance = 1e-6
 
-// Plus returns the sum of two resources.
+// Plus returns the sum of r and other.
 func (r Resources) Plus(other Resources) Resources {
 	return Resources{r.CPUs + other.CPUs, r.GPUs + other.GPUs, r.MemoryGB + other.MemoryGB}
 }
 
-// Minus returns the difference of two resources.
+// Minus returns r minus other.
 func (r Resources) Minus(other Resources) Resources {
 	return Resources{r.CPUs - other.CPUs, r.GPUs - other.GPUs, r.MemoryGB - other.MemoryGB}
 }
 
-// Times returns the resources multiplied by n.
+// Times returns r multiplied by n.
 func (r Resources) Times(n float64) Resources {
 	return Resources{r.CPUs * n, r.GPUs * n, r.MemoryGB * n}
 }
 
-// Within reports whether r fits into room in every resource.
+// Within reports whether r is at most room in every resource, up to the tolerance.
 func (r Resources) Within(room Resources) bool {
 	return r.CPUs <= room.CPUs+tolerance && r.GPUs <= room.GPUs+tolerance && r.MemoryGB <= room.MemoryGB+tolerance
 }
 
-// TaskResources returns the resources that each task of the job takes.
+// TaskResources returns the resources that one task of the job takes.
 func TaskResources(j *wire.Job) Resources { return Resources{j.CPUs, j.GPUs, j.MemoryGB} }
 
 // Capacity returns the resources of a machine of the type.
@@ -48,29 +48,29 @@
 	Spot bool
 }
 
-// Spread is the distribution of those tasks of one job that may be on machines now.
+// Spread is the distribution over zones of the tasks of one job that may be on machines.
 type Spread struct {
-	ByZone map[string]int // number of tasks; those under "" may be in any zone
+	ByZone map[string]int // number of tasks by zone; for tasks under "" the zone is unknown
 }
 
-// Allows reports whether one more task of the job may run on a machine at the place,
-// given where its other tasks may be. It does not look at resources.
-func Allows(j *wire.Job, at Pool, others Spread) bool {
-	if at.Spot && !j.Spot {
+// Allows reports whether one more task of the job may run on a machine of the pool, given
+// the zones where its other tasks may be. It does not check resources.
+func Allows(j *wire.Job, pool Pool, others Spread) bool {
+	if pool.Spot && !j.Spot {
 		return false
 	}
-	if j.Zone != nil && *j.Zone != at.Zone {
+	if j.Zone != nil && *j.Zone != pool.Zone {
 		return false
 	}
-	if len(j.Types) > 0 && !slices.Contains(j.Types, at.Type) {
+	if len(j.Types) > 0 && !slices.Contains(j.Types, pool.Type) {
 		return false
 	}
-	if j.Spread && others.ByZone[at.Zone]+others.ByZone[""]+1 > (j.Tasks+1)/2 {
+	if j.Spread && others.ByZone[pool.Zone]+others.ByZone[""]+1 > (j.Tasks+1)/2 {
 		return false
 	}
 	if j.OneZone {
 		for zone, n := range others.ByZone {
-			if n > 0 && zone != at.Zone {
+			if n > 0 && zone != pool.Zone {
 				return false
 			}
 		}
@@ -78,8 +78,8 @@
 	return true
 }
 
-// FitsAnyType reports whether a task of the job fits an empty machine of some type that
-// the job allows.
+// FitsAnyType reports whether a task of the job fits on an empty machine of any type
+// that the job allows.
 func FitsAnyType(j *wire.Job, types []wire.MachineType) bool {
 	for i := range types {
 		t := &types[i]
--- a/internal/preemption/doc.go
+++ b/internal/preemption/doc.go
@@ -1,5 +1,6 @@
-// Package preemption chooses which tasks to stop so that a task that finds no
-// room gets some: the rules of who may stop whom, what that costs, and on which
-// machine it costs least. It has no state, no lock,
-// no I/O and no clock; stopping what is chosen is the scheduler's part.
+// Package preemption chooses which running tasks to preempt to make room for a task
+// that does not fit on any machine. It holds the rules for which tasks may be
+// preempted, computes the cost of doing so, and selects the machine with the lowest
+// cost. It keeps no state, takes no locks, does no I/O and reads no clock; the
+// scheduler stops the chosen tasks.
 package preemption
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	// fetchCost is what it costs, in seconds of work, that a machine must fetch
-	// the image first.
-	fetchCost = 10
-	// restartCost is what it costs, in seconds of work, to start a running task
-	// again, beside the work that it has done.
-	restartCost = 1
+	// imageFetchCostS is the cost, in seconds of work, of choosing a machine that has
+	// to fetch the image first.
+	imageFetchCostS = 10
+	// restartCostS is the cost, in seconds of work, of restarting a running task, in
+	// addition to the work that is lost.
+	restartCostS = 1
 )
 
-// Request is a task that finds no room.
+// Request describes the task that needs room.
 type Request struct {
 	Size       placement.Resources
 	Image      string
 	Team       string
-	Rank       int  // of its priority; 0 is the highest
-	Guaranteed bool // whether its team stays within its guarantee with it
-	// AboveGuarantee reports whether a team uses more than it is guaranteed.
+	Rank       int  // rank of the task's priority; 0 is the highest
+	Guaranteed bool // whether its team stays within its guarantee if the task is placed
+	// AboveGuarantee reports whether a team uses more than its guarantee.
 	AboveGuarantee func(team string) bool
 }
 
-// Plan is what to stop on one machine to make room.
+// Plan lists the attempts to stop on one machine to make room.
 type Plan struct {
 	Machine *fleet.Machine
-	Victims []*fleet.Attempt // those that lose least first; never empty
+	Victims []*fleet.Attempt // sorted by lost work, the least first; never empty
 	Cost    float64          // in seconds of work
 }
 
-// Choose returns the plan that costs least on any of the machines, of equal
-// ones the first; nil if the rules permit none.
+// Choose returns the plan with the lowest cost over the machines, the first of equal
+// ones, or nil if the rules permit no plan.
 func Choose(req *Request, machines iter.Seq[*fleet.Machine], now time.Time) *Plan {
 	var best *Plan
 	for m := range machines {
@@ -50,8 +50,9 @@
 	return best
 }
 
-// planOn plans what to stop on one machine: what loses least, until there is
-// room. It returns nil if there is room already, or none can be made.
+// planOn returns a plan for one machine: it stops the attempts that lose the least work,
+// one after the other, until there is room. It returns nil if there is room already or
+// if stopping all candidates would not make enough.
 func (req *Request) planOn(m *fleet.Machine, now time.Time) *Plan {
 	candidates := req.candidatesOn(m)
 	if len(candidates) == 0 {
@@ -60,7 +61,7 @@
 	slices.SortFunc(candidates, func(a, b *fleet.Attempt) int { return cmp.Compare(lostWork(a, now), lostWork(b, now)) })
 	plan := &Plan{Machine: m}
 	if !m.HasImage(req.Image) {
-		plan.Cost += fetchCost
+		plan.Cost += imageFetchCostS
 	}
 	room := m.Free()
 	for _, a := range candidates {
@@ -77,22 +78,22 @@
 	return plan
 }
 
-// candidatesOn returns the attempts on a machine that may be stopped.
+// candidatesOn returns the attempts on the machine that may be preempted.
 func (req *Request) candidatesOn(m *fleet.Machine) []*fleet.Attempt {
 	var candidates []*fleet.Attempt
 	for _, a := range m.Attempts.All() {
-		if !a.Exited() && !a.Stop && req.mayStop(a) {
+		if !a.Exited() && !a.Stop && req.mayPreempt(a) {
 			candidates = append(candidates, a)
 		}
 	}
 	return candidates
 }
 
-// mayStop reports whether the task may stop the victim: a higher priority may
-// stop a lower one, and a team that gets its guarantee may stop any work that
-// another runs above its own. What a team uses on other controllers' machines
-// is not known here, so their tasks are exempt from the latter.
-func (req *Request) mayStop(victim *fleet.Attempt) bool {
+// mayPreempt reports whether the task may preempt the victim. A task may preempt tasks of
+// lower priority. A task that is within its team's guarantee may also preempt tasks of any
+// priority of another team that is above its guarantee. The second rule excludes hosted
+// tasks, because their team's usage on other controllers' machines is not known here.
+func (req *Request) mayPreempt(victim *fleet.Attempt) bool {
 	if req.Rank < victim.Rank {
 		return true
 	}
@@ -102,10 +103,10 @@
 	return req.AboveGuarantee(victim.Team)
 }
 
-// lostWork is what stopping an attempt loses, in seconds of work.
+// lostWork returns the cost of stopping an attempt, in seconds of work.
 func lostWork(a *fleet.Attempt, now time.Time) float64 {
 	if a.Running.IsZero() {
 		return 0
 	}
-	return restartCost + now.Sub(a.Running).Seconds()
+	return restartCostS + now.Sub(a.Running).Seconds()
 }
