--- a/internal/scheduler/adoption.go
+++ b/internal/scheduler/adoption.go
@@ -73,8 +73,8 @@
 	}
 	// Use the scheduler's epoch, even if the next one has begun. A machine that belongs
 	// to this controller only in the next epoch would be adopted without the bucket that
-	// contains its record, and the record would be removed as ownerless. That caused
-	// ran_twice violations.
+	// contains its record. The record would then be removed as ownerless, and its tasks
+	// could run twice (rule ran_twice).
 	host := s.opts.Authority.OwnerInEpoch(&s.epoch.Epoch, name)
 	switch {
 	case host != s.opts.Node:
@@ -133,8 +133,8 @@
 }
 
 // adoptMachineLocked adds a machine with the attempts that its records list. buckets
-// contain these records; the first one becomes the machine's own bucket. outcomes are
-// the outcomes of ended jobs.
+// contain these records; the first one becomes the machine's own bucket, unless it is
+// a journal. outcomes are the outcomes of ended jobs.
 func (s *Scheduler) adoptMachineLocked(
 	adopted *fleet.Machine, buckets []*checkpoint.Bucket, outcomes map[string]job.Outcome, now time.Time,
 ) {
--- a/internal/scheduler/checkpoints.go
+++ b/internal/scheduler/checkpoints.go
@@ -101,8 +101,8 @@
 }
 
 // DropUnsent implements checkpoint.Scheduler.
-func (s checkpointScheduler) DropUnsent(id string, on iter.Seq[*checkpoint.Machine]) {
-	for m := range on {
+func (s checkpointScheduler) DropUnsent(id string, machines iter.Seq[*checkpoint.Machine]) {
+	for m := range machines {
 		for _, a := range m.Attempts.All() {
 			if a.Job == id && a.NeverSent() {
 				m.Attempts.Delete(a.Key)
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -73,8 +73,8 @@
 // acceptsLocked reports whether new tasks may be placed on the machine if it has
 // room.
 func (s *Scheduler) acceptsLocked(m *machine, now time.Time) bool {
-	kept := !m.returning && !m.returnIntent && !m.quarantined && m.Notice.IsZero()
-	return s.synced(m) && m.Type != nil && kept && !now.Before(m.placeNotBefore) &&
+	available := !m.returning && !m.returnIntent && !m.quarantined && m.Notice.IsZero()
+	return s.synced(m) && m.Type != nil && available && !now.Before(m.placeNotBefore) &&
 		m.Responsive() && now.Sub(m.LastHeartbeat) < s.detector.SuspectAfter() &&
 		!s.detector.HeartbeatsMissing(&m.Worker, now)
 }
@@ -117,7 +117,7 @@
 // drainLocked stops tasks on a machine that the cloud will take away or whose lease
 // will expire: service replicas, so that they move at once; tasks that can save their
 // progress, while there is time; and tasks that have not started. Other tasks keep
-// running: they may finish before, and stopping them would lose their work anyway.
+// running: they may finish in time, and stopping them would lose their work anyway.
 func (s *Scheduler) drainLocked(m *machine) {
 	for _, a := range m.Attempts.All() {
 		if a.Stop || a.Exited() || !a.Sized {
--- a/internal/scheduler/machinewatch.go
+++ b/internal/scheduler/machinewatch.go
@@ -68,9 +68,9 @@
 	if !s.detector.Partitioned() || !s.leadsLocked() || now.Sub(s.resignedAt) <= electionSettleTime {
 		return
 	}
-	elsewhere := s.opts.WorkersAtPeers()
-	settled := now.Sub(s.leaderSince) > electionSettleTime && elsewhere > len(s.machines)/3
-	if settled || elsewhere > assessment.Reachable {
+	workersAtPeers := s.opts.WorkersAtPeers()
+	settled := now.Sub(s.leaderSince) > electionSettleTime && workersAtPeers > len(s.machines)/3
+	if settled || workersAtPeers > assessment.Reachable {
 		s.resignedAt = now
 		s.spawn(s.opts.Resign)
 	}
--- a/internal/scheduler/readiness.go
+++ b/internal/scheduler/readiness.go
@@ -20,7 +20,7 @@
 		}
 		before := queued.EffectivePriority
 		queued.SetReadiness(s.opts.Jobs.Readiness(queued.Record))
-		s.log.Debug("readiness changed", "job", id, "ready", queued.Ready, "rank", queued.EffectivePriority, "due", queued.Deadline)
+		s.log.Debug("readiness changed", "job", id, "ready", queued.Ready, "rank", queued.EffectivePriority, "deadline", queued.Deadline)
 		if queued.EffectivePriority != before {
 			changed[id] = queued.EffectivePriority
 		}
--- a/internal/scheduler/rebuild_test.go
+++ b/internal/scheduler/rebuild_test.go
@@ -39,8 +39,9 @@
 }
 
 // Tasks of a cancelled job that may still run count for the next owner of its team,
-// though no scheduler gains the job. The quota was exceeded when a team was at its
-// limit, machines were unreachable, a job was cancelled and the leader changed.
+// though no scheduler gains the job. The team's limit was exceeded (rule quota) when
+// a team was at its limit, machines were unreachable, a job was cancelled and the
+// leader changed.
 func TestTasksOfEndedJobsCountForNextOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, p, m := newTestScheduler(t)
@@ -64,7 +65,7 @@
 // A rebuild uses one epoch throughout, even if the next one begins meanwhile. In the
 // old epoch, a machine and the journal with its record belong to a peer. If the
 // machine were adopted by the new epoch, the journal would be removed as ownerless,
-// and the next owner of the machine would not know what runs there (ran_twice).
+// and the next owner of the machine would not know what runs there (rule ran_twice).
 func TestRebuildFollowsOneEpoch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, p, _ := newTestScheduler(t)
@@ -103,7 +104,7 @@
 // A machine is handed over to a peer, but the store's answer is lost, and the peer
 // has already placed a task on the machine when this scheduler gains the task's job.
 // The recorded attempt must be known even though the handover is still in progress
-// here (ran_twice).
+// here (rule ran_twice).
 func TestRebuildKnowsMachinesBeingTransferred(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, p, _ := newTestScheduler(t)
--- a/internal/scheduler/recordwriter.go
+++ b/internal/scheduler/recordwriter.go
@@ -16,13 +16,13 @@
 func (s recordWriter) Fence() state.FencingCondition { return s.fenceLocked() }
 
 // UniqueWriteID implements checkpoint.Scheduler and completion.Scheduler.
-func (s recordWriter) UniqueWriteID() string { return s.writeMarkLocked() }
+func (s recordWriter) UniqueWriteID() string { return s.uniqueWriteIDLocked() }
 
 // CleanupGuard implements checkpoint.Scheduler and completion.Scheduler.
 func (s recordWriter) CleanupGuard() (duty.Guard, error) { return s.recordCleanupGuard() }
 
-// writeMarkLocked returns a string that is unique to one write.
-func (s *Scheduler) writeMarkLocked() string {
+// uniqueWriteIDLocked returns a string that is unique to one write.
+func (s *Scheduler) uniqueWriteIDLocked() string {
 	s.lastSerial++ // never repeats under this token
 	return fmt.Sprintf("%s-%d-%d", s.opts.Node, s.epoch.Token, s.lastSerial)
 }
