--- a/cmd/heronwick/runcommand.go
+++ b/cmd/heronwick/runcommand.go
@@ -82,7 +82,7 @@
 	}
 	log.Info("started", "version", version, "listen", settings.Listen, "peers", len(settings.Peers),
 		"value_bytes", settings.MaxValueBytes, "txn_ops", settings.MaxTxnOps, "write_rps", settings.StateWriteRate)
-	peerService := &cluster.Service{Cluster: c.members, Transport: c.transport, Placement: c}
+	peerService := &cluster.Service{Cluster: c.members, Transport: c.transport, PlacementHandler: c}
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return c.server.Serve(ctx, listeners.clients) })
 	g.Go(func() error { return peerService.Serve(ctx, listeners.peers) })
--- a/internal/cluster/assignment.go
+++ b/internal/cluster/assignment.go
@@ -15,7 +15,7 @@
 // the work by much: a move costs its tasks a second owner.
 func (e *Epoch) assignTeams(weights map[string]float64) {
 	a := newAssignment(e, weights)
-	a.placeUnowned()
+	a.assignUnowned()
 	a.rebalance()
 	maps.DeleteFunc(e.Teams, func(team, _ string) bool {
 		_, exists := weights[team]
@@ -56,10 +56,10 @@
 	return slices.MinFunc(a.nodes, func(x, y string) int { return cmp.Compare(a.load[x], a.load[y]) })
 }
 
-// placeUnowned gives the teams without an owner that is a member a new one. The
+// assignUnowned gives the teams without an owner that is a member a new one. The
 // leader takes the machines of a member that has gone, so it takes its teams too:
 // elsewhere all their tasks would run on another owner's machines.
-func (a *assignment) placeUnowned() {
+func (a *assignment) assignUnowned() {
 	var unowned []string
 	for _, team := range a.teams {
 		owner := a.epoch.Teams[team]
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -21,19 +21,19 @@
 // Cluster is this controller's view of the deployment. It is safe for concurrent
 // use.
 type Cluster struct {
-	opts             Options
-	incarnation      uint64 // of this controller, random
-	startedAt        time.Time
-	timeouts         timeouts
-	confirmationTTL  time.Duration
-	expiryFitsCancel bool          // a lease expiry after the confirmation TTL fits within CancelTimeout
-	changed          chan struct{} // poked when the epoch or the leader key changes
+	opts                    Options
+	incarnation             uint64 // of this controller, random
+	startedAt               time.Time
+	timeouts                timeouts
+	confirmationTTL         time.Duration
+	expiryFitsCancelTimeout bool          // a lease expiry after the confirmation TTL fits within CancelTimeout
+	electionTrigger         chan struct{} // poked when the epoch or the leader key changes
 
 	mu sync.Mutex
 
 	// What the store holds, as far as known.
 	revision      uint64 // up to which the watched keys are known
-	known         bool   // the epoch was read since this controller started
+	epochLoaded   bool   // the epoch was read since this controller started
 	epoch         Epoch
 	version       uint64 // of the epoch key
 	leader        leaderRecord
@@ -50,11 +50,11 @@
 	membershipDone   chan struct{}      // closed when the current RunMembership has returned
 
 	// The proof that the epoch is current.
-	confirmedAt         time.Time // when the last confirmation, cancellations included, was requested
-	caughtUpAt          time.Time // when the store last showed all cancellations
-	confirmationExpired bool      // as last logged
-	fence               fence
-	fenceRecords        []fenceRecord // by token, ascending
+	confirmedAt           time.Time // when the last confirmation, cancellations included, was requested
+	cancellationsSyncedAt time.Time // when the store last showed all cancellations
+	confirmationExpired   bool      // as last logged
+	fence                 fence
+	fenceRecords          []fenceRecord // by token, ascending
 
 	// What the others say.
 	peers        map[string]*peer
@@ -65,29 +65,29 @@
 func New(opts Options) *Cluster {
 	ttl, fits := confirmationTTLFor(opts.LeaseDuration, opts.CancelTimeout)
 	c := &Cluster{
-		opts:             opts,
-		incarnation:      rand.Uint64(),
-		startedAt:        time.Now(),
-		timeouts:         newTimeouts(opts.TimeoutFactor),
-		confirmationTTL:  ttl,
-		expiryFitsCancel: fits,
-		changed:          make(chan struct{}, 1),
-		peers:            map[string]*peer{},
-		workersHeard:     map[string]time.Time{},
-		owners:           map[string]Owner{},
-		transfers:        map[string]transfer{},
+		opts:                    opts,
+		incarnation:             rand.Uint64(),
+		startedAt:               time.Now(),
+		timeouts:                newTimeouts(opts.TimeoutFactor),
+		confirmationTTL:         ttl,
+		expiryFitsCancelTimeout: fits,
+		electionTrigger:         make(chan struct{}, 1),
+		peers:                   map[string]*peer{},
+		workersHeard:            map[string]time.Time{},
+		owners:                  map[string]Owner{},
+		transfers:               map[string]transfer{},
 	}
 	for node, client := range opts.Peers {
 		c.peers[node] = &peer{node: node, client: client}
 	}
-	c.warnOfSettings()
+	c.warnAboutSettings()
 	return c
 }
 
-// warnOfSettings logs settings under which the cluster works badly or not at
+// warnAboutSettings logs settings under which the cluster works badly or not at
 // all.
-func (c *Cluster) warnOfSettings() {
-	if !c.expiryFitsCancel {
+func (c *Cluster) warnAboutSettings() {
+	if !c.expiryFitsCancelTimeout {
 		c.opts.Log.Warn("cancel_s leaves too little time for a lease to expire: cancellations are confirmed only once every controller knows them",
 			"lease", c.opts.LeaseDuration, "cancel_in", c.opts.CancelTimeout, "needed", c.opts.LeaseDuration+leaseExpirySlack(c.opts.LeaseDuration)+minConfirmationTTL)
 	}
@@ -95,7 +95,7 @@
 	for node := range c.opts.Peers {
 		nodes = append(nodes, node)
 	}
-	if size := largestEpoch(nodes, c.opts.Teams); c.opts.MaxValueBytes > 0 && size > c.opts.MaxValueBytes {
+	if size := maxEpochBytes(nodes, c.opts.Teams); c.opts.MaxValueBytes > 0 && size > c.opts.MaxValueBytes {
 		c.opts.Log.Warn("the epoch does not fit a value of the key-value store: no leader can be elected. Fewer teams, shorter names or larger values are needed",
 			"bytes", size, "limit", c.opts.MaxValueBytes, "teams", len(c.opts.Teams))
 	}
@@ -125,7 +125,7 @@
 func (c *Cluster) View() View {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return View{Epoch: c.epoch, Condition: c.epochConditionLocked(), Leader: c.leadsLocked(), Member: c.memberLocked()}
+	return View{Epoch: c.epoch, Condition: c.epochConditionLocked(), Leader: c.isLeaderLocked(), Member: c.isMemberLocked()}
 }
 
 // Token returns the fencing token under which this controller commands workers.
@@ -140,12 +140,12 @@
 	return wire.Condition{Key: epochKey, Version: c.version}
 }
 
-func (c *Cluster) memberLocked() bool {
-	return c.known && c.epoch.Members[c.opts.Node].Incarnation == c.incarnation
+func (c *Cluster) isMemberLocked() bool {
+	return c.epochLoaded && c.epoch.Members[c.opts.Node].Incarnation == c.incarnation
 }
 
-func (c *Cluster) leadsLocked() bool {
-	return c.known && c.epoch.Leader == c.opts.Node && c.epoch.Incarnation == c.incarnation
+func (c *Cluster) isLeaderLocked() bool {
+	return c.epochLoaded && c.epoch.Leader == c.opts.Node && c.epoch.Incarnation == c.incarnation
 }
 
 // HeartbeatTarget returns the node to which a worker should send its heartbeats:
@@ -154,10 +154,10 @@
 func (c *Cluster) HeartbeatTarget(machine string) (node string, owned bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.known {
+	if !c.epochLoaded {
 		return "", false
 	}
-	if o, ok := c.owners[machine]; ok && c.validLocked(o) {
+	if o, ok := c.owners[machine]; ok && c.ownerIsMemberLocked(o) {
 		return o.Node, true
 	}
 	if c.leaderVersion == 0 || c.leader.Node != c.epoch.Leader || c.leader.Incarnation != c.epoch.Incarnation {
@@ -166,10 +166,10 @@
 	return c.epoch.Leader, false
 }
 
-// poke has the election look at what changed at once.
-func (c *Cluster) poke() {
+// triggerElectionRound has the election look at what changed at once.
+func (c *Cluster) triggerElectionRound() {
 	select {
-	case c.changed <- struct{}{}:
+	case c.electionTrigger <- struct{}{}:
 	default:
 	}
 }
--- a/internal/cluster/confirmation.go
+++ b/internal/cluster/confirmation.go
@@ -37,7 +37,7 @@
 }
 
 func (c *Cluster) canAnswerHeartbeatsLocked() bool {
-	return c.memberLocked() && time.Since(c.confirmedAt) < c.confirmationTTL
+	return c.isMemberLocked() && time.Since(c.confirmedAt) < c.confirmationTTL
 }
 
 // confirmByMajorityLocked confirms the epoch as of the latest time at which a
@@ -46,7 +46,7 @@
 // one.
 func (c *Cluster) confirmByMajorityLocked() {
 	needed := (len(c.peers) + 1) / 2 // peers; with this controller a majority
-	if !c.memberLocked() || needed == 0 {
+	if !c.isMemberLocked() || needed == 0 {
 		return
 	}
 	var times []time.Time
@@ -68,14 +68,14 @@
 // logConfirmationLocked logs when this controller, a member, begins or ceases to
 // answer no worker for want of a confirmation.
 func (c *Cluster) logConfirmationLocked() {
-	expired := c.memberLocked() && !c.confirmedAt.IsZero() && !c.canAnswerHeartbeatsLocked()
+	expired := c.isMemberLocked() && !c.confirmedAt.IsZero() && !c.canAnswerHeartbeatsLocked()
 	if expired == c.confirmationExpired {
 		return
 	}
 	c.confirmationExpired = expired
 	if expired {
 		c.opts.Log.Warn("epoch confirmation expired: no worker is answered until the key-value store or a majority confirms the epoch again",
-			"token", c.epoch.Token, "since", time.Since(c.confirmedAt), "peers_heard", len(c.heardPeersLocked()))
+			"token", c.epoch.Token, "since", time.Since(c.confirmedAt), "peers_heard", len(c.livePeersLocked()))
 	} else {
 		c.opts.Log.Info("epoch confirmed again, or no longer a member", "token", c.epoch.Token)
 	}
--- a/internal/cluster/election.go
+++ b/internal/cluster/election.go
@@ -38,7 +38,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-c.changed:
+		case <-c.electionTrigger:
 		case <-tick.C:
 		}
 		c.electionRound(ctx)
@@ -58,16 +58,16 @@
 // leading this one, or claims the next.
 func (c *Cluster) electionRound(ctx context.Context) {
 	c.mu.Lock()
-	known, leading, leaderless, outdated := c.known, c.leadsLocked(), c.leaderlessLocked(), c.outdatedLocked()
+	known, leading, leaderless, outdated := c.epochLoaded, c.isLeaderLocked(), c.mayCampaignLocked(), c.peerHasNewerEpochLocked()
 	c.mu.Unlock()
 	switch {
 	case !known:
 	case outdated:
 		c.refreshAndLog(ctx)
 	case leading:
-		c.keepLeading(ctx)
+		c.renewLeadership(ctx)
 		c.reconcileMembership(ctx)
-		c.raiseLevel(ctx)
+		c.recordFeatureLevel(ctx)
 	case leaderless:
 		// The first claim wins.
 		wait.Sleep(ctx, rand.N(campaignJitter))
@@ -75,14 +75,14 @@
 	}
 }
 
-// leaderlessLocked reports whether this controller may campaign: there is no
+// mayCampaignLocked reports whether this controller may campaign: there is no
 // leader, or it was itself the leader before it restarted.
-func (c *Cluster) leaderlessLocked() bool {
+func (c *Cluster) mayCampaignLocked() bool {
 	return c.leaderVersion == 0 || c.leader.Node == c.opts.Node && c.leader.Incarnation != c.incarnation
 }
 
-// outdatedLocked reports whether a peer knows a newer epoch.
-func (c *Cluster) outdatedLocked() bool {
+// peerHasNewerEpochLocked reports whether a peer knows a newer epoch.
+func (c *Cluster) peerHasNewerEpochLocked() bool {
 	for _, p := range c.peers {
 		if p.token > c.epoch.Token {
 			return true
@@ -132,17 +132,17 @@
 	revision, err := c.sendClaim(ctx, claim)
 	if err != nil {
 		c.opts.Log.Debug("claiming the epoch failed", "token", claim.next.Token, "err", err)
-		c.afterFailedClaim(ctx, claim)
+		c.reloadAfterFailedClaim(ctx, claim)
 		return
 	}
-	c.afterClaim(claim, revision)
+	c.applyClaim(claim, revision)
 }
 
 // newClaim prepares a claim of the next epoch; ok is false if there is a leader.
 func (c *Cluster) newClaim() (_ epochClaim, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.leaderlessLocked() {
+	if !c.mayCampaignLocked() {
 		return epochClaim{}, false
 	}
 	next := c.epoch.next()
@@ -174,19 +174,19 @@
 	})
 }
 
-// afterFailedClaim reads what stands. After a missing response the claim may have
+// reloadAfterFailedClaim reads what stands. After a missing response the claim may have
 // been carried out: reading shows that, and if it is carried out later still, the
 // watch does.
-func (c *Cluster) afterFailedClaim(ctx context.Context, claim epochClaim) {
+func (c *Cluster) reloadAfterFailedClaim(ctx context.Context, claim epochClaim) {
 	_ = c.refresh(ctx) // the next round decides on what it shows
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.leadsLocked() {
+	if c.isLeaderLocked() {
 		c.lease = claim.lease
 	}
 }
 
-func (c *Cluster) afterClaim(claim epochClaim, revision uint64) {
+func (c *Cluster) applyClaim(claim epochClaim, revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lease = claim.lease
@@ -194,9 +194,9 @@
 		c.setEpochLocked(claim.next, revision)
 	}
 	c.leader, c.leaderVersion = c.ownRecord(), revision
-	c.confirmLocked(c.caughtUpAt) // not now: another may have claimed since, or a job been cancelled
+	c.confirmLocked(c.cancellationsSyncedAt) // not now: another may have claimed since, or a job been cancelled
 	c.opts.Log.Info("elected", "token", claim.next.Token)
-	c.poke()
+	c.triggerElectionRound()
 }
 
 // AdvanceEpoch raises the token and changes nothing else. Whatever was sent to
@@ -204,7 +204,7 @@
 // is ErrNotMember, or that of the store.
 func (c *Cluster) AdvanceEpoch(ctx context.Context) error {
 	c.mu.Lock()
-	next, version, member := c.epoch.next(), c.version, c.memberLocked()
+	next, version, member := c.epoch.next(), c.version, c.isMemberLocked()
 	c.mu.Unlock()
 	if !member {
 		return fmt.Errorf("raising the token of epoch %d: %w", next.Token-1, ErrNotMember)
@@ -231,6 +231,6 @@
 	if next.Token > c.epoch.Token {
 		c.setEpochLocked(next, revision)
 	}
-	c.poke()
+	c.triggerElectionRound()
 	return nil
 }
--- a/internal/cluster/epoch.go
+++ b/internal/cluster/epoch.go
@@ -64,10 +64,10 @@
 	return next
 }
 
-// largestEpoch returns how many bytes the epoch takes at most with these
+// maxEpochBytes returns how many bytes the epoch takes at most with these
 // controllers and teams. It is one value, so the store's limits bound how many
 // there may be.
-func largestEpoch(nodes, teams []string) int {
+func maxEpochBytes(nodes, teams []string) int {
 	longest := ""
 	members := map[string]Member{}
 	for _, node := range nodes {
--- a/internal/cluster/features.go
+++ b/internal/cluster/features.go
@@ -76,9 +76,9 @@
 	return common
 }
 
-// raiseLevel records the level that all controllers support, if it is higher than
+// recordFeatureLevel records the level that all controllers support, if it is higher than
 // the recorded one. Only the leader calls it.
-func (c *Cluster) raiseLevel(ctx context.Context) {
+func (c *Cluster) recordFeatureLevel(ctx context.Context) {
 	c.mu.Lock()
 	recorded, common := c.features, c.commonLevelLocked()
 	c.mu.Unlock()
--- a/internal/cluster/fencing.go
+++ b/internal/cluster/fencing.go
@@ -42,7 +42,7 @@
 // recordAckLocked counts a peer that knows the current epoch: it will neither
 // answer workers under an older one nor confirm one.
 func (c *Cluster) recordAckLocked(p *peer) {
-	if !c.memberLocked() || p.token < c.epoch.Token {
+	if !c.isMemberLocked() || p.token < c.epoch.Token {
 		return
 	}
 	if c.fence.acked == nil {
@@ -55,11 +55,11 @@
 // recordFenceLocked records the proof for the current epoch once it is complete.
 // Proof for one epoch is proof for all older ones.
 func (c *Cluster) recordFenceLocked() {
-	if !c.memberLocked() || c.fenceProvenLocked() {
+	if !c.isMemberLocked() || c.fenceProvenLocked() {
 		return
 	}
 	now := time.Now()
-	c.noteAcksLocked(now)
+	c.recordAckTimesLocked(now)
 	at := c.fence.provenAt(c.confirmationTTL)
 	if at.IsZero() || now.Before(at) {
 		return
@@ -75,9 +75,9 @@
 	return len(c.fenceRecords) > 0 && c.fenceRecords[len(c.fenceRecords)-1].token >= c.epoch.Token
 }
 
-// noteAcksLocked notes when a majority and when all were first seen to know the
+// recordAckTimesLocked notes when a majority and when all were first seen to know the
 // epoch.
-func (c *Cluster) noteAcksLocked(now time.Time) {
+func (c *Cluster) recordAckTimesLocked(now time.Time) {
 	if c.fence.majorityAt.IsZero() && 2*(len(c.fence.acked)+1) > len(c.peers)+1 {
 		c.fence.majorityAt = now
 	}
--- a/internal/cluster/grpc.go
+++ b/internal/cluster/grpc.go
@@ -95,19 +95,19 @@
 // Service is the gRPC server that answers peers.
 type Service struct {
 	peerpb.UnimplementedPeerServer
-	Cluster   *Cluster
-	Transport *state.FailoverTransport
-	Placement PlacementHandler
+	Cluster          *Cluster
+	Transport        *state.FailoverTransport
+	PlacementHandler PlacementHandler
 }
 
 // Place implements peerpb.PeerServer.
 func (s *Service) Place(_ context.Context, req *peerpb.PlaceRequest) (*peerpb.PlaceReply, error) {
-	return s.Placement.Place(req), nil
+	return s.PlacementHandler.Place(req), nil
 }
 
 // Settle implements peerpb.PeerServer.
 func (s *Service) Settle(_ context.Context, req *peerpb.SettleRequest) (*peerpb.SettleReply, error) {
-	return s.Placement.Settle(req), nil
+	return s.PlacementHandler.Settle(req), nil
 }
 
 // Beat implements peerpb.PeerServer.
--- a/internal/cluster/leadership.go
+++ b/internal/cluster/leadership.go
@@ -9,8 +9,8 @@
 	"heronwick/wire"
 )
 
-// keepLeading confirms that the epoch is current and renews the leader's lease.
-func (c *Cluster) keepLeading(ctx context.Context) {
+// renewLeadership confirms that the epoch is current and renews the leader's lease.
+func (c *Cluster) renewLeadership(ctx context.Context) {
 	if !c.confirmWithStore(ctx) {
 		return
 	}
@@ -62,7 +62,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.leadsLocked() {
+	if c.isLeaderLocked() {
 		c.confirmLocked(sent)
 	}
 }
@@ -114,7 +114,7 @@
 func (c *Cluster) markSteppedDown() (condition wire.Condition, leads bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	leads = c.leadsLocked()
+	leads = c.isLeaderLocked()
 	if leads {
 		c.steppedDownAt = time.Now()
 	}
--- a/internal/cluster/membership.go
+++ b/internal/cluster/membership.go
@@ -29,7 +29,7 @@
 
 // startMembershipLocked starts RunMembership for a membership that has begun.
 func (c *Cluster) startMembershipLocked(ctx context.Context) {
-	if !c.memberLocked() || c.stopMembership != nil {
+	if !c.isMemberLocked() || c.stopMembership != nil {
 		return
 	}
 	ctx, c.stopMembership = context.WithCancel(ctx)
@@ -86,7 +86,7 @@
 func (c *Cluster) proposeMembers(weights map[string]float64) *epochProposal {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.leadsLocked() {
+	if !c.isLeaderLocked() {
 		return nil
 	}
 	proposal := &epochProposal{next: c.epoch.next(), version: c.version}
@@ -107,7 +107,7 @@
 // reports whether it did either. One that restarted is removed and added again.
 func (c *Cluster) updateMemberLocked(next *Epoch, p *peer, now time.Time) (changed bool) {
 	member := next.Members[p.node].Incarnation // 0: it is none
-	alive := !p.lastSeen.IsZero() && now.Sub(p.lastSeen) < c.timeouts.deadAfter
+	alive := !p.lastSeen.IsZero() && now.Sub(p.lastSeen) < c.timeouts.removalTimeout
 	if alive && member != 0 && p.status.Cut && p.status.Incarnation == member && c.workersReachOthersLocked(p) {
 		p.excludedUntil = now.Add(exclusionPeriod)
 	}
@@ -119,8 +119,8 @@
 	}
 	// Only a peer that knows this epoch is surely still there: the leader
 	// before, say, was heard a moment before it ended.
-	fit := alive && p.status.Ready && !p.status.Cut && p.token >= c.epoch.Token && now.After(p.excludedUntil)
-	if member == 0 && fit {
+	eligible := alive && p.status.Ready && !p.status.Cut && p.token >= c.epoch.Token && now.After(p.excludedUntil)
+	if member == 0 && eligible {
 		next.Members[p.node] = Member{Incarnation: p.incarnation, Since: next.Token}
 		c.opts.Log.Info("member joins", "member", p.node)
 		changed = true
--- a/internal/cluster/options.go
+++ b/internal/cluster/options.go
@@ -67,9 +67,9 @@
 	// Base values of timeouts, for controllers of usual speed.
 	baseLeaderTTL        = 3 * time.Second
 	baseHeartbeatTimeout = time.Second
-	baseDeadAfter        = 2500 * time.Millisecond
-	// silentHeartbeats is how many heartbeats in a row a live peer may miss.
-	silentHeartbeats = 3
+	baseRemovalTimeout   = 2500 * time.Millisecond
+	// maxMissedHeartbeats is how many heartbeats in a row a live peer may miss.
+	maxMissedHeartbeats = 3
 )
 
 // timeouts are how long this controller waits for the others. One that is short
@@ -78,8 +78,8 @@
 type timeouts struct {
 	leaderTTL        time.Duration // of the leader's lease, renewed four times within it to survive a lost request
 	heartbeatTimeout time.Duration // of one heartbeat to a peer
-	peerSilence      time.Duration // after which a peer does not count as heard from
-	deadAfter        time.Duration // of silence, after which a member is removed
+	livenessTimeout  time.Duration // after which a peer does not count as heard from
+	removalTimeout   time.Duration // of silence, after which a member is removed
 }
 
 func newTimeouts(slowness float64) timeouts {
@@ -87,7 +87,7 @@
 	return timeouts{
 		leaderTTL:        scale(baseLeaderTTL),
 		heartbeatTimeout: scale(baseHeartbeatTimeout),
-		peerSilence:      scale(silentHeartbeats * heartbeatInterval),
-		deadAfter:        scale(baseDeadAfter),
+		livenessTimeout:  scale(maxMissedHeartbeats * heartbeatInterval),
+		removalTimeout:   scale(baseRemovalTimeout),
 	}
 }
--- a/internal/cluster/ownership.go
+++ b/internal/cluster/ownership.go
@@ -90,8 +90,8 @@
 	delete(c.transfers, key)
 }
 
-// validLocked reports whether the owner is a member of the current epoch.
-func (c *Cluster) validLocked(o Owner) bool { return o.memberIn(&c.epoch) }
+// ownerIsMemberLocked reports whether the owner is a member of the current epoch.
+func (c *Cluster) ownerIsMemberLocked(o Owner) bool { return o.memberIn(&c.epoch) }
 
 // Ownership is what a controller knows of the owners of machines, as of one moment.
 type Ownership struct {
@@ -108,7 +108,7 @@
 	for machine, o := range c.owners {
 		switch {
 		case o.Released():
-		case !c.validLocked(o):
+		case !c.ownerIsMemberLocked(o):
 			ownership.Orphans = append(ownership.Orphans, machine)
 		case o.Node == c.opts.Node:
 			ownership.Owned[machine] = o
--- a/internal/cluster/peerload.go
+++ b/internal/cluster/peerload.go
@@ -7,14 +7,14 @@
 func (c *Cluster) memberStatusesLocked() []*peerpb.Status {
 	var statuses []*peerpb.Status
 	for node, p := range c.peers {
-		if c.isMemberLocked(node) && p.status != nil {
+		if c.nodeIsMemberLocked(node) && p.status != nil {
 			statuses = append(statuses, p.status)
 		}
 	}
 	return statuses
 }
 
-func (c *Cluster) isMemberLocked(node string) bool { return c.epoch.Members[node].Since != 0 }
+func (c *Cluster) nodeIsMemberLocked(node string) bool { return c.epoch.Members[node].Since != 0 }
 
 // PeerCapacity is what the machines of the other members have together.
 type PeerCapacity struct {
@@ -60,8 +60,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	loads := map[string]PeerLoad{}
-	for _, p := range c.heardPeersLocked() {
-		if c.isMemberLocked(p.node) {
+	for _, p := range c.livePeersLocked() {
+		if c.nodeIsMemberLocked(p.node) {
 			loads[p.node] = PeerLoad{Machines: int(p.status.Machines), Overloaded: p.status.Overloaded}
 		}
 	}
@@ -74,8 +74,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var wants []*peerpb.Want
-	for _, p := range c.heardPeersLocked() {
-		if c.isMemberLocked(p.node) {
+	for _, p := range c.livePeersLocked() {
+		if c.nodeIsMemberLocked(p.node) {
 			wants = append(wants, p.status.Wants...)
 		}
 	}
@@ -94,7 +94,7 @@
 // their heartbeats to one peer other than the given one.
 func (c *Cluster) maxWorkersHeardByPeerLocked(except *peer) int {
 	most := 0
-	for _, p := range c.heardPeersLocked() {
+	for _, p := range c.livePeersLocked() {
 		if p != except {
 			most = max(most, int(p.workersHeard))
 		}
@@ -107,7 +107,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var nodes []string
-	for _, p := range c.heardPeersLocked() {
+	for _, p := range c.livePeersLocked() {
 		if p.stateOK {
 			nodes = append(nodes, p.node)
 		}
@@ -119,7 +119,7 @@
 func (c *Cluster) LivePeerCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.heardPeersLocked())
+	return len(c.livePeersLocked())
 }
 
 // LivePeerStatuses returns the status of each peer that was heard from lately.
@@ -127,7 +127,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var statuses []*peerpb.Status
-	for _, p := range c.heardPeersLocked() {
+	for _, p := range c.livePeersLocked() {
 		statuses = append(statuses, p.status)
 	}
 	return statuses
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// directHealthyWithin is how lately this controller must have reached the
+	// directHealthyWindow is how lately this controller must have reached the
 	// store by itself for peers to send requests through it.
-	directHealthyWithin = 2 * time.Second
-	// workerHeardWithin is how long a worker's heartbeat counts for
+	directHealthyWindow = 2 * time.Second
+	// workerHeartbeatWindow is how long a worker's heartbeat counts for
 	// MaxWorkersHeardByPeer.
-	workerHeardWithin = 5 * time.Second
+	workerHeartbeatWindow = 5 * time.Second
 	// isolationSlack is how much longer than the leader's lease a controller must
 	// be cut off before it counts as isolated.
 	isolationSlack = 5 * time.Second
@@ -51,12 +51,12 @@
 	c.workersHeard[machine] = time.Now()
 }
 
-// heardPeersLocked returns the peers that were heard from lately. Their status is
+// livePeersLocked returns the peers that were heard from lately. Their status is
 // not nil.
-func (c *Cluster) heardPeersLocked() []*peer {
+func (c *Cluster) livePeersLocked() []*peer {
 	var heard []*peer
 	for _, p := range c.peers {
-		if p.status != nil && time.Since(p.lastSeen) < c.timeouts.peerSilence {
+		if p.status != nil && time.Since(p.lastSeen) < c.timeouts.livenessTimeout {
 			heard = append(heard, p)
 		}
 	}
@@ -74,13 +74,13 @@
 			return false
 		}
 	}
-	return len(c.peers) > 0 && !c.memberLocked() && time.Since(c.startedAt) > isolatedAfter
+	return len(c.peers) > 0 && !c.isMemberLocked() && time.Since(c.startedAt) > isolatedAfter
 }
 
 // HandleHeartbeat answers a peer's heartbeat with this controller's status.
 func (c *Cluster) HandleHeartbeat(theirs *peerpb.Status) *peerpb.Status {
 	if c.recordHeartbeat(theirs) {
-		c.poke()
+		c.triggerElectionRound()
 	}
 	if len(theirs.Progress) > 0 && c.opts.OnProgress != nil {
 		c.opts.OnProgress(theirs.Progress)
@@ -112,25 +112,25 @@
 // after a revision of the store.
 func (c *Cluster) status(after uint64) *peerpb.Status {
 	s := &peerpb.Status{Node: c.opts.Node, Incarnation: c.incarnation, FeatureLevel: uint32(supportedLevel),
-		StateOk: c.opts.Transport.DirectHealthy(directHealthyWithin)}
+		StateOk: c.opts.Transport.DirectHealthy(directHealthyWindow)}
 	c.opts.FillStatus(s)
 	known := c.opts.Cancellations.KnownCancellations(after)
 	s.JobsRead, s.JobsRevision, s.JobsBase = known.Loaded, known.Revision, known.Base
 	s.Cancelled = encodeCancellations(known.Recent)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.known {
+	if c.epochLoaded {
 		s.Token = c.epoch.Token
 	}
-	c.forgetSilentWorkersLocked()
+	c.removeExpiredWorkerHeartbeatsLocked()
 	s.WorkersHeard = uint32(len(c.workersHeard))
 	return s
 }
 
-func (c *Cluster) forgetSilentWorkersLocked() {
+func (c *Cluster) removeExpiredWorkerHeartbeatsLocked() {
 	now := time.Now()
 	for machine, heardAt := range c.workersHeard {
-		if now.Sub(heardAt) > workerHeardWithin {
+		if now.Sub(heardAt) > workerHeartbeatWindow {
 			delete(c.workersHeard, machine)
 		}
 	}
@@ -164,8 +164,8 @@
 		return
 	}
 	c.opts.Cancellations.ApplyCancellations(decodeCancellations(theirs.Cancelled))
-	if c.recordAnswer(p, mine, theirs, sent) {
-		c.poke()
+	if c.recordHeartbeatResponse(p, mine, theirs, sent) {
+		c.triggerElectionRound()
 	}
 	if mine.JobsRead && theirs.JobsBase > mine.JobsRevision {
 		if err := c.opts.Cancellations.SyncToRevision(ctx, theirs.JobsBase); err != nil {
@@ -180,11 +180,11 @@
 	return p.client.Heartbeat(ctx, mine)
 }
 
-// recordAnswer records a peer's answer to a heartbeat that was sent at a time and
+// recordHeartbeatResponse records a peer's answer to a heartbeat that was sent at a time and
 // reports whether the peer knows a newer epoch. The answers of a majority that
 // know no newer one confirm ours: in an outage of the store that is what keeps
 // workers' leases.
-func (c *Cluster) recordAnswer(p *peer, mine, theirs *peerpb.Status, sent time.Time) (outdated bool) {
+func (c *Cluster) recordHeartbeatResponse(p *peer, mine, theirs *peerpb.Status, sent time.Time) (outdated bool) {
 	// What the peer cannot name, since it restarted or forgot, must be known here
 	// already: else its answer says nothing of cancellations.
 	knowsCancellations := mine.JobsRead && theirs.JobsRead && theirs.JobsBase <= mine.JobsRevision
--- a/internal/cluster/replicate.go
+++ b/internal/cluster/replicate.go
@@ -116,7 +116,7 @@
 // expiry before the cancellation deadline, all must.
 func (c *Cluster) replicasNeededLocked() int {
 	controllers := len(c.peers) + 1
-	if !c.expiryFitsCancel {
+	if !c.expiryFitsCancelTimeout {
 		return controllers - 1
 	}
 	majority := controllers/2 + 1
@@ -126,7 +126,7 @@
 // soleMemberLocked reports whether all machines are this controller's and no
 // other one is a member: the others may have ended, and it stops the tasks itself.
 func (c *Cluster) soleMemberLocked() bool {
-	return c.leadsLocked() && c.canAnswerHeartbeatsLocked() && len(c.epoch.Members) == 1
+	return c.isLeaderLocked() && c.canAnswerHeartbeatsLocked() && len(c.epoch.Members) == 1
 }
 
 // replicationQueue holds the cancellations that are still to be sent to a peer.
@@ -150,7 +150,7 @@
 // sendReplications sends what is queued for a peer until its queue is empty.
 func (c *Cluster) sendReplications(p *peer) {
 	for {
-		queue := c.takeReplications(p)
+		queue := c.dequeueReplications(p)
 		if len(queue.cancelled) == 0 {
 			return
 		}
@@ -161,8 +161,8 @@
 	}
 }
 
-// takeReplications empties a peer's queue and returns what it held.
-func (c *Cluster) takeReplications(p *peer) replicationQueue {
+// dequeueReplications empties a peer's queue and returns what it held.
+func (c *Cluster) dequeueReplications(p *peer) replicationQueue {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	taken := p.replication
--- a/internal/cluster/transfercleanup.go
+++ b/internal/cluster/transfercleanup.go
@@ -14,11 +14,11 @@
 	// transferCleanupInterval is how often the leader looks for transfers to
 	// remove.
 	transferCleanupInterval = 10 * time.Second
-	// maxRemovals bounds the removals in one transaction; it need not be quick.
-	maxRemovals = 8
-	// maxSettledTransfers is how many settled transfers of the current epoch may
+	// maxRemovalsPerTxn bounds the removals in one transaction; it need not be quick.
+	maxRemovalsPerTxn = 8
+	// maxObsoleteTransfers is how many settled transfers of the current epoch may
 	// stand before the leader raises the token so that it can remove them.
-	maxSettledTransfers = 200
+	maxObsoleteTransfers = 200
 )
 
 // runTransferCleanup removes settled transfers now and then until ctx ends. It is
@@ -27,71 +27,71 @@
 func (c *Cluster) runTransferCleanup(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait.Sleep(ctx, transferCleanupInterval)
-		c.removeSettledTransfers(ctx)
+		c.removeObsoleteTransfers(ctx)
 	}
 	return nil
 }
 
-// removeSettledTransfers removes some transfers that decide nothing any more. A
+// removeObsoleteTransfers removes some transfers that decide nothing any more. A
 // late copy of a transfer would bring it back as the newest one, so one is
 // removed only under a later epoch than its own: the copy then fails. Only the
 // leader removes any.
-func (c *Cluster) removeSettledTransfers(ctx context.Context) {
-	guard, err := c.cleanupGuard()
+func (c *Cluster) removeObsoleteTransfers(ctx context.Context) {
+	guard, err := c.cleanupConditions()
 	if err != nil {
 		return // the controller that may remove them does
 	}
-	settled, ok := c.settledTransfers()
+	obsolete, ok := c.obsoleteTransfers()
 	if !ok {
 		return
 	}
-	if settled.ofThisEpoch > maxSettledTransfers {
+	if obsolete.inCurrentEpoch > maxObsoleteTransfers {
 		if err := c.AdvanceEpoch(ctx); err != nil {
 			c.opts.Log.Debug("raising the token failed", "err", err)
 		}
 		return
 	}
-	if len(settled.removable) > 0 {
-		c.removeTransfers(ctx, guard, settled)
+	if len(obsolete.removable) > 0 {
+		c.removeTransfers(ctx, guard, obsolete)
 	}
 }
 
-// cleanupGuard returns the conditions of the removal of records besides the
+// cleanupConditions returns the conditions of the removal of records besides the
 // epoch.
-func (c *Cluster) cleanupGuard() ([]wire.Condition, error) {
+func (c *Cluster) cleanupConditions() ([]wire.Condition, error) {
 	if c.opts.CleanupConditions == nil {
 		return nil, nil
 	}
 	return c.opts.CleanupConditions()
 }
 
-// settledTransfers are transfers that decide nothing any more, as of an epoch.
-type settledTransfers struct {
-	epoch       wire.Condition
-	removable   []wire.Condition // of older epochs, maxRemovals at most
-	ofThisEpoch int              // not removable before the next epoch
+// obsoleteTransfers are transfers that decide nothing any more, as of an epoch.
+type obsoleteTransfers struct {
+	epoch          wire.Condition
+	removable      []wire.Condition // of older epochs, maxRemovalsPerTxn at most
+	inCurrentEpoch int              // not removable before the next epoch
 }
 
-// settledTransfers finds the settled transfers; ok is false if this controller
+// obsoleteTransfers finds the settled transfers; ok is false if this controller
 // does not lead or may not have seen every transfer.
-func (c *Cluster) settledTransfers() (settled settledTransfers, ok bool) {
+func (c *Cluster) obsoleteTransfers() (obsolete obsoleteTransfers, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.leadsLocked() || !c.freshLocked() {
-		return settledTransfers{}, false
+	if !c.isLeaderLocked() || !c.freshLocked() {
+		return obsoleteTransfers{}, false
 	}
-	settled.epoch = c.epochConditionLocked()
+	obsolete.epoch = c.epochConditionLocked()
 	oldest := c.oldestTransfersLocked()
 	for key, t := range c.transfers {
 		switch {
-		case !c.settledLocked(key, t, oldest):
+		case !c.obsoleteLocked(key, t, oldest):
 		case t.Token >= c.epoch.Token:
-			settled.ofThisEpoch++
-		case len(settled.removable) < maxRemovals:
-			settled.removable = append(settled.removable, wire.Condition{Key: key, Version: t.version})
+			obsolete.inCurrentEpoch++
+		case len(obsolete.removable) < maxRemovalsPerTxn:
+			obsolete.removable = append(obsolete.removable, wire.Condition{Key: key, Version: t.version})
 		}
 	}
-	return settled, true
+	return obsolete, true
 }
 
 // oldestTransfersLocked returns, by machine, the version of the oldest transfer
@@ -108,23 +108,23 @@
 	return oldest
 }
 
-// settledLocked reports whether a transfer decides nothing any more: for each of
+// obsoleteLocked reports whether a transfer decides nothing any more: for each of
 // its machines there is a newer one, or the owner's membership is over and there
 // is no older one.
-func (c *Cluster) settledLocked(key string, t transfer, oldest map[string]uint64) bool {
+func (c *Cluster) obsoleteLocked(key string, t transfer, oldest map[string]uint64) bool {
 	for machine := range t.Machines {
 		owner := c.owners[machine]
 		isNewest := owner.key == key
-		if isNewest && (c.validLocked(owner) || oldest[machine] < t.version) {
+		if isNewest && (c.ownerIsMemberLocked(owner) || oldest[machine] < t.version) {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *Cluster) removeTransfers(ctx context.Context, guard []wire.Condition, settled settledTransfers) {
-	txn := wire.Txn{If: append(guard, settled.epoch)}
-	for _, condition := range settled.removable {
+func (c *Cluster) removeTransfers(ctx context.Context, guard []wire.Condition, obsolete obsoleteTransfers) {
+	txn := wire.Txn{If: append(guard, obsolete.epoch)}
+	for _, condition := range obsolete.removable {
 		txn.If = append(txn.If, condition)
 		txn.Then = append(txn.Then, wire.Change{Delete: condition.Key})
 	}
--- a/internal/cluster/watch.go
+++ b/internal/cluster/watch.go
@@ -31,7 +31,7 @@
 				continue
 			}
 			listed = true
-			c.poke()
+			c.triggerElectionRound()
 		}
 		if err := c.watchOnce(ctx); err != nil {
 			listed = false
@@ -49,7 +49,7 @@
 	}
 	c.applyEvents(events)
 	if len(events.Events) > 0 {
-		c.poke()
+		c.triggerElectionRound()
 		c.opts.OnChange()
 	}
 	return nil
@@ -68,8 +68,8 @@
 	if err != nil {
 		return err
 	}
-	caughtUp := c.opts.Cancellations.SyncToRevision(ctx, keys.Revision) == nil
-	if c.applyList(listing{sent: sent, items: keys.Items, revision: keys.Revision, caughtUp: caughtUp}) {
+	cancellationsSynced := c.opts.Cancellations.SyncToRevision(ctx, keys.Revision) == nil
+	if c.applyList(listing{sent: sent, items: keys.Items, revision: keys.Revision, cancellationsSynced: cancellationsSynced}) {
 		c.opts.OnChange()
 	}
 	return nil
@@ -83,10 +83,10 @@
 
 // listing is a list of the keys as of a revision.
 type listing struct {
-	sent     time.Time // when it was requested
-	items    []wire.Item
-	revision uint64
-	caughtUp bool // all cancellations up to the revision are known
+	sent                time.Time // when it was requested
+	items               []wire.Item
+	revision            uint64
+	cancellationsSynced bool // all cancellations up to the revision are known
 }
 
 // applyList applies a listing and returns true, or returns false if something
@@ -97,14 +97,14 @@
 	if l.revision < c.revision {
 		return false
 	}
-	c.revision, c.known = l.revision, true
+	c.revision, c.epochLoaded = l.revision, true
 	c.applyItemsLocked(l)
 	if c.opts.WatchHandler != nil {
 		c.opts.WatchHandler.Replace(l.items, l.revision)
 	}
-	if l.caughtUp {
-		c.caughtUpAt = l.sent
-		if c.memberLocked() {
+	if l.cancellationsSynced {
+		c.cancellationsSyncedAt = l.sent
+		if c.isMemberLocked() {
 			c.confirmLocked(l.sent)
 		}
 	}
@@ -181,12 +181,12 @@
 // setEpochLocked makes e the known epoch and ends this controller's membership if
 // e does not have it.
 func (c *Cluster) setEpochLocked(e Epoch, version uint64) {
-	wasMember, since := c.memberLocked(), c.epoch.Members[c.opts.Node].Since
+	wasMember, since := c.isMemberLocked(), c.epoch.Members[c.opts.Node].Since
 	sameSince := e.Members[c.opts.Node].Since == since
 	if e.Token > c.epoch.Token {
 		c.resetConfirmationsLocked(wasMember && sameSince)
 	}
-	c.epoch, c.version, c.known = e, version, true
+	c.epoch, c.version, c.epochLoaded = e, version, true
 	for _, p := range c.peers {
 		c.recordAckLocked(p)
 	}
