--- a/internal/state/bucket.go
+++ b/internal/state/bucket.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// bucket is a token bucket. Its level may become negative.
+// bucket is a token bucket. Its level may become negative. The rate is in tokens
+// per second; level and burst are in tokens.
 type bucket struct {
-	rate, level, burst float64 // tokens a second, tokens, tokens
+	rate, level, burst float64
 	refilledAt         time.Time
 }
 
-// newBucket makes a full bucket.
+// newBucket returns a full bucket.
 func newBucket(rate, burst float64, now time.Time) bucket {
 	return bucket{rate: rate, level: burst, burst: burst, refilledAt: now}
 }
@@ -18,16 +19,17 @@
 	b.refilledAt = now
 }
 
-// setRate changes the rate and keeps the burst at one second's worth, which is
-// what the service allows, but never less than one transaction needs.
+// setRate changes the rate. It sets the burst to the tokens of one second, which
+// is the burst that the service allows, but at least to minBurst, so that the
+// largest transaction fits.
 func (b *bucket) setRate(rate, minBurst float64) {
 	b.refill(time.Now())
 	b.rate, b.burst = rate, max(rate, minBurst)
 	b.level = min(b.level, b.burst)
 }
 
-// timeUntil returns how long it takes until the bucket holds so many tokens,
-// rounded up.
+// timeUntil returns how long it takes until the bucket holds the given number of
+// tokens, rounded up.
 func (b *bucket) timeUntil(tokens float64) time.Duration {
 	missing := tokens - b.level
 	if missing <= 0 {
--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -8,35 +8,36 @@
 	"time"
 )
 
-// Budget is this controller's part of the key-value store's request and write
-// limits. Waiters are served by priority, then in order of arrival. It is safe
-// for concurrent use.
+// Budget enforces this controller's share of the key-value store's limits on
+// requests and writes per second. Waiters are served by priority, then in order of
+// arrival. It is safe for concurrent use.
 //
-// x/time/rate has no priorities and counts one resource only, so the two
-// buckets are kept here.
+// It does not use x/time/rate, which has no priorities and limits only one
+// resource.
 type Budget struct {
 	mu       sync.Mutex
 	requests bucket
 	writes   bucket
-	// priorityWrites are what of the writes a priority may use by itself.
+	// priorityWrites limits the writes of each priority, in addition to writes,
+	// which limits their sum.
 	priorityWrites [priorities]bucket
 	waiting        [priorities][]*waiter
-	timer          *time.Timer // serves the waiters again
+	timer          *time.Timer // calls serveLocked when the next waiter can be served
 	pausedUntil    time.Time
 	usage          [priorities]Usage
-	window         Usage // since TotalUsage was last called
+	total          Usage // since TotalUsage was last called
 }
 
-// waiter is a request that waits for the budget.
+// waiter is a request that waits for budget.
 type waiter struct {
-	since                time.Time
+	enqueuedAt           time.Time
 	minWrites, maxWrites float64
-	granted              float64       // writes, set before ready is closed
+	granted              float64       // number of writes granted; set before ready is closed
 	ready                chan struct{} // closed once the request may be sent
 }
 
-// NewBudget makes a budget of so many requests and writes a second.
-// maxTxnWrites is the number of writes of the largest transaction.
+// NewBudget returns a budget with limits in requests and writes per second.
+// maxTxnWrites is the number of writes in the largest transaction.
 func NewBudget(requests, writes float64, maxTxnWrites int) *Budget {
 	now := time.Now()
 	b := &Budget{
@@ -49,15 +50,16 @@
 	return b
 }
 
-// Rates are limits of requests and writes, a second.
+// Rates holds limits in requests and writes per second.
 type Rates struct {
 	Requests, Writes float64
-	// Of the writes, how many those priorities may use. The others may use all.
+	// Limits on the writes of the priorities Submission and Background. The other
+	// priorities may use all of Writes.
 	SubmissionWrites, BackgroundWrites float64
 }
 
-// writesFor returns how many writes a second a priority may use.
-func (r *Rates) writesFor(p Priority) float64 {
+// writeRate returns how many writes per second a priority may use.
+func (r *Rates) writeRate(p Priority) float64 {
 	switch p {
 	case Submission:
 		return r.SubmissionWrites
@@ -67,20 +69,20 @@
 	return r.Writes
 }
 
-// SetRates changes the budget, for example when this controller becomes the
-// leader. maxTxnWrites is the number of writes of the largest transaction.
+// SetRates changes the limits, for example when this controller becomes the
+// leader. maxTxnWrites is the number of writes in the largest transaction.
 func (b *Budget) SetRates(r Rates, maxTxnWrites int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.requests.setRate(r.Requests, 1)
 	b.writes.setRate(r.Writes, float64(maxTxnWrites))
 	for p := range b.priorityWrites {
-		b.priorityWrites[p].setRate(r.writesFor(Priority(p)), float64(maxTxnWrites))
+		b.priorityWrites[p].setRate(r.writeRate(Priority(p)), float64(maxTxnWrites))
 	}
 }
 
-// Pause holds every request back for a while: the service said 429, so
-// together the controllers asked too much.
+// Pause holds back all requests for d. It is called after a response with status
+// 429, which means that the controllers together have exceeded the service's limits.
 func (b *Budget) Pause(d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -89,18 +91,20 @@
 	}
 }
 
-// Acquire waits for one request with so many writes. The error is that of ctx.
+// Acquire waits until the budget allows one request with the given number of
+// writes. The error is that of ctx.
 func (b *Budget) Acquire(ctx context.Context, p Priority, writes int) error {
 	_, err := b.AcquireUpTo(ctx, p, writes, writes)
 	return err
 }
 
-// AcquireUpTo waits for one request with at least minWrites writes, and takes as
-// many more as there are at that moment, up to maxWrites. It returns how many it
-// took; the error is that of ctx. Waiting for a full transaction would hold the
-// first of its writes up for the last.
+// AcquireUpTo waits until the budget allows one request with at least minWrites
+// writes, and grants as many more as are available at that moment, up to maxWrites.
+// It returns the number granted; the error is that of ctx. It does not wait for
+// maxWrites, which would delay the first write of a transaction until there is
+// budget for the last.
 func (b *Budget) AcquireUpTo(ctx context.Context, p Priority, minWrites, maxWrites int) (granted int, err error) {
-	w := &waiter{since: time.Now(), minWrites: float64(minWrites), maxWrites: float64(maxWrites), ready: make(chan struct{})}
+	w := &waiter{enqueuedAt: time.Now(), minWrites: float64(minWrites), maxWrites: float64(maxWrites), ready: make(chan struct{})}
 	b.enqueue(p, w)
 	select {
 	case <-w.ready:
@@ -111,7 +115,7 @@
 	defer b.mu.Unlock()
 	i := slices.Index(b.waiting[p], w)
 	if i < 0 {
-		return int(w.granted), nil // served at the last moment
+		return int(w.granted), nil // granted at the same time as ctx ended
 	}
 	b.waiting[p] = slices.Delete(b.waiting[p], i, i+1)
 	return 0, ctx.Err()
@@ -124,33 +128,33 @@
 	b.serveLocked()
 }
 
-// serveLocked serves the waiters that the buckets allow and sets the timer for
-// the next. One that waits for writes holds up all that come after it and want
-// some, but not those that want none.
+// serveLocked serves the waiters that the buckets allow and sets the timer for the
+// next one. A waiter that lacks writes blocks all later waiters that need writes,
+// but not those that need none.
 func (b *Budget) serveLocked() {
 	now := time.Now()
 	b.refillLocked(now)
-	saving := false // a waiter waits for writes
+	writesBlocked := false // an earlier waiter lacks writes
 	for p := range priorities {
-		var remaining []*waiter
+		var stillWaiting []*waiter
 		for i, w := range b.waiting[p] {
-			untilRequest, untilWrites := b.shortfall(now, p, w)
+			untilRequest, untilWrites := b.waitTimes(now, p, w)
 			if untilRequest > 0 {
-				b.serveAgainIn(untilRequest)
-				b.waiting[p] = append(remaining, b.waiting[p][i:]...)
+				b.scheduleServe(untilRequest)
+				b.waiting[p] = append(stillWaiting, b.waiting[p][i:]...)
 				return
 			}
-			if w.minWrites > 0 && (saving || untilWrites > 0) {
-				if !saving {
-					saving = true
-					b.serveAgainIn(untilWrites)
+			if w.minWrites > 0 && (writesBlocked || untilWrites > 0) {
+				if !writesBlocked {
+					writesBlocked = true
+					b.scheduleServe(untilWrites)
 				}
-				remaining = append(remaining, w)
+				stillWaiting = append(stillWaiting, w)
 				continue
 			}
-			b.grantLocked(now, p, w, saving)
+			b.grantLocked(now, p, w, writesBlocked)
 		}
-		b.waiting[p] = remaining
+		b.waiting[p] = stillWaiting
 	}
 }
 
@@ -162,9 +166,9 @@
 	}
 }
 
-// shortfall returns how long a waiter has to wait for a request, and for its
-// writes.
-func (b *Budget) shortfall(now time.Time, p Priority, w *waiter) (untilRequest, untilWrites time.Duration) {
+// waitTimes returns how long it takes until the budget allows the waiter's request,
+// and until it allows the writes that it needs.
+func (b *Budget) waitTimes(now time.Time, p Priority, w *waiter) (untilRequest, untilWrites time.Duration) {
 	untilRequest = max(b.pausedUntil.Sub(now), b.requests.timeUntil(1))
 	if w.minWrites > 0 {
 		untilWrites = max(b.writes.timeUntil(w.minWrites), b.priorityWrites[p].timeUntil(w.minWrites))
@@ -172,22 +176,22 @@
 	return untilRequest, untilWrites
 }
 
-// grantLocked serves a waiter: with as many writes as there are, or, while
-// another one saves up for its own, with no more than it needs.
-func (b *Budget) grantLocked(now time.Time, p Priority, w *waiter, saving bool) {
+// grantLocked serves a waiter. It grants as many writes as are available, up to
+// the waiter's maximum, or only the minimum while an earlier waiter lacks writes.
+func (b *Budget) grantLocked(now time.Time, p Priority, w *waiter, writesBlocked bool) {
 	w.granted = w.minWrites
-	if !saving {
+	if !writesBlocked {
 		available := min(b.writes.level, b.priorityWrites[p].level)
 		w.granted = max(w.minWrites, min(w.maxWrites, math.Floor(available)))
 	}
 	b.requests.level--
 	b.writes.level -= w.granted
 	b.priorityWrites[p].level -= w.granted
-	b.recordUsage(p, int(w.granted), now.Sub(w.since))
+	b.recordUsage(p, int(w.granted), now.Sub(w.enqueuedAt))
 	close(w.ready)
 }
 
-func (b *Budget) serveAgainIn(d time.Duration) {
+func (b *Budget) scheduleServe(d time.Duration) {
 	if b.timer != nil {
 		b.timer.Stop()
 	}
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -15,19 +15,22 @@
 	"heronwick/wire"
 )
 
-// RequestTimeout bounds every request but watches. Responses can take a few
-// hundred milliseconds; a connection that hangs must not hold anything longer.
+// RequestTimeout bounds every request except watches. Responses can take a few
+// hundred milliseconds; a connection that hangs must not block its caller for much
+// longer than that.
 const RequestTimeout = 1500 * time.Millisecond
 
-// WatchTimeout is how long one watch waits for changes. It is short, since a
-// watch that is open while the store refuses this controller stays silent.
+// WatchTimeout is how long one watch waits for changes. It is short because a
+// watch that was opened before the store began to refuse this controller receives
+// neither events nor an error.
 const WatchTimeout = 4 * time.Second
 
 const (
-	// listPageSize is how many keys List asks for at once.
+	// listPageSize is the number of keys that List requests per page.
 	listPageSize = 1000
-	// Requests pause between throttlePause and throttlePause+throttleJitter
-	// after a 429. Jitter keeps the controllers from coming back all at once.
+	// After a response with status 429 all requests pause for throttlePause plus a
+	// random time of up to throttleJitter, so that the controllers do not all resume
+	// at the same time.
 	throttlePause  = 100 * time.Millisecond
 	throttleJitter = 150 * time.Millisecond
 )
@@ -38,13 +41,13 @@
 	budget    *Budget
 }
 
-// NewClient makes a client that sends its requests through transport, within
-// budget.
+// NewClient returns a client that sends its requests through transport at the
+// rates that budget allows.
 func NewClient(transport Transport, budget *Budget) *Client {
 	return &Client{transport: transport, budget: budget}
 }
 
-// Get reads one key; ErrNotFound if it does not exist.
+// Get reads one key. The error is ErrNotFound if the key does not exist.
 func (c *Client) Get(ctx context.Context, p Priority, key string) (wire.Item, error) {
 	var item wire.Item
 	_, err := c.call(ctx, p, http.MethodGet, wire.PathKeys+"/"+key, nil, &item)
@@ -53,8 +56,10 @@
 
 // Listing holds all keys under a prefix.
 type Listing struct {
-	Items    []wire.Item
-	Revision uint64 // of the first page: a watch from there misses nothing
+	Items []wire.Item
+	// Revision is that of the first page: a watch from this revision on misses no
+	// change that was made while the further pages were read.
+	Revision uint64
 }
 
 // List reads every key under prefix.
@@ -77,8 +82,8 @@
 	}
 }
 
-// listTarget is the target of a request for the page of keys under prefix that
-// begins after a key; "" for the first page.
+// listTarget returns the request target of one page of the keys under prefix. The
+// page begins after the key after; an empty after selects the first page.
 func listTarget(prefix, after string) string {
 	target := fmt.Sprintf("%s?under=%s&most=%d", wire.PathKeys, url.QueryEscape(prefix), listPageSize)
 	if after != "" {
@@ -87,8 +92,8 @@
 	return target
 }
 
-// Txn carries out one transaction and returns its revision. The error is a
-// *Conflict when a condition did not hold.
+// Txn runs one transaction and returns its revision. The error is a *Conflict if a
+// condition did not hold.
 func (c *Client) Txn(ctx context.Context, p Priority, txn wire.Txn) (revision uint64, err error) {
 	if err := c.budget.Acquire(ctx, p, len(txn.Then)); err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrUnavailable, err)
@@ -96,9 +101,9 @@
 	return c.sendTxn(ctx, txn)
 }
 
-// sendTxn sends a transaction for which budget was acquired.
+// sendTxn sends a transaction for which the caller has acquired budget.
 func (c *Client) sendTxn(ctx context.Context, txn wire.Txn) (revision uint64, err error) {
-	// The service wants lists, never null.
+	// The service accepts lists only, not null.
 	if txn.If == nil {
 		txn.If = []wire.Condition{}
 	}
@@ -116,22 +121,23 @@
 	return reply.Revision, nil
 }
 
-// Grant asks for a lease of duration ttl and returns its id.
+// Grant creates a lease with the given TTL and returns its ID.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
 	var lease wire.Lease
 	_, err := c.call(ctx, Urgent, http.MethodPost, wire.PathLeases, wire.LeaseRequest{TTLMs: ttl.Milliseconds()}, &lease)
 	return lease.ID, err
 }
 
-// Renew renews a lease; ErrNotFound if it has expired.
+// Renew renews a lease. The error is ErrNotFound if the lease has expired.
 func (c *Client) Renew(ctx context.Context, lease uint64) error {
 	target := wire.PathLeases + "/" + strconv.FormatUint(lease, 10) + "/" + wire.SuffixRenew
 	_, err := c.call(ctx, Urgent, http.MethodPost, target, nil, nil)
 	return err
 }
 
-// Watch waits up to wait for changes under prefix after the revision;
-// ErrCompacted if the service no longer has all of them.
+// Watch waits for at most wait until there are changes under prefix later than the
+// revision after, and returns them. The error is ErrCompacted if the service has
+// compacted some of them.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (wire.Events, error) {
 	if err := c.budget.Acquire(ctx, Safety, 0); err != nil {
 		return wire.Events{}, fmt.Errorf("%w: %w", ErrUnavailable, err)
@@ -152,8 +158,9 @@
 	return c.do(ctx, method, target, body, reply)
 }
 
-// do sends a request for which budget was acquired and decodes the body of a
-// 200 or 409 into reply, unless that is nil. Any other status is an error.
+// do sends a request for which the caller has acquired budget. It decodes the body
+// of a response with status 200 or 409 into reply, unless reply is nil. Any other
+// status is an error.
 func (c *Client) do(ctx context.Context, method, target string, body, reply any) (status int, err error) {
 	encoded, err := encodeBody(body)
 	if err != nil {
@@ -180,7 +187,7 @@
 	return response.Status, nil
 }
 
-// encodeBody encodes a request's body; nil stays nil.
+// encodeBody encodes the body of a request. It returns nil for a nil body.
 func encodeBody(body any) ([]byte, error) {
 	if body == nil {
 		return nil, nil
@@ -192,8 +199,8 @@
 	return encoded, nil
 }
 
-// statusError is the error for a response whose status is not a success. A 429 also
-// pauses the budget.
+// statusError returns the error for a response with a status other than 200 and 409.
+// A 429 also pauses the budget.
 func (c *Client) statusError(response Response) error {
 	switch response.Status {
 	case http.StatusBadRequest:
--- a/internal/state/commit.go
+++ b/internal/state/commit.go
@@ -10,44 +10,48 @@
 )
 
 const (
-	// maxInFlight is how many transactions of one kind are in flight at once, so
-	// that a slow response holds up only part of the writes.
+	// maxInFlight is the maximum number of transactions of each queue in flight at
+	// once. It is more than one so that a slow response delays only part of the
+	// writes.
 	maxInFlight = 3
-	// commitTimeout bounds one attempt of a transaction and one read-back.
+	// commitTimeout bounds one attempt of a transaction, and the reading back of one
+	// write.
 	commitTimeout = 10 * time.Second
-	// Attempts without a definite answer are retried after minBackoff, doubled
-	// each time up to maxBackoff.
+	// A transaction without a definite result is retried after minBackoff. The
+	// backoff doubles with each attempt, up to maxBackoff.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = time.Second
 )
 
-// Committer groups writes into transactions (group commit). While one
-// transaction is in flight the next fills, so that a quiet service has no added
-// delay and a busy one few transactions. It is safe for concurrent use.
+// Committer groups writes into transactions (group commit). Writes that arrive
+// while transactions are in flight or wait for budget are gathered in the next
+// transaction: at low load writes are not delayed, and at high load few
+// transactions are needed. It is safe for concurrent use.
 type Committer struct {
 	client     *Client
-	maxChanges int // of a transaction
+	maxChanges int // limit per transaction
 
 	mu          sync.Mutex
 	comparisons writeQueue
 	changes     writeQueue
 }
 
-// NewCommitter makes a Committer whose transactions hold at most maxChanges
-// changes and four times as many conditions.
+// NewCommitter returns a Committer whose transactions have at most maxChanges
+// changes and conditionsPerChange times as many conditions.
 func NewCommitter(client *Client, maxChanges int) *Committer {
 	return &Committer{client: client, maxChanges: maxChanges}
 }
 
-// MaxChanges is how many changes a transaction may hold.
+// MaxChanges returns the maximum number of changes in a transaction.
 func (c *Committer) MaxChanges() int { return c.maxChanges }
 
 func (c *Committer) maxConditions() int { return conditionsPerChange * c.maxChanges }
 
-// Commit carries out a write, in one transaction with others that wait, and
+// Commit carries out a write, in one transaction with other queued writes, and
 // returns its revision. The error is a *Conflict with the keys of this write's
-// conditions that failed, ErrUnavailable, ErrUnknown or ErrRejected. Each
-// write's conditions must make a late copy of it fail.
+// conditions that failed, ErrUnavailable, ErrUnknown or ErrRejected. An attempt
+// that had no response may be carried out after a retry, so the conditions of a
+// write must fail once the write has been made.
 func (c *Committer) Commit(ctx context.Context, w Write) (revision uint64, err error) {
 	if w.QueuedAt.IsZero() {
 		w.QueuedAt = time.Now()
@@ -73,8 +77,8 @@
 	c.startLocked(q)
 }
 
-// LongestWait returns how long the write that has waited longest has waited, of
-// priority p and more important ones.
+// LongestWait returns the longest time that any queued write of priority p or a more
+// important one has waited.
 func (c *Committer) LongestWait(p Priority) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,19 +86,20 @@
 	return max(c.comparisons.longestWait(p, now), c.changes.longestWait(p, now))
 }
 
-// startLocked starts a transaction of the queue's writes if there are any and
-// another one may be in flight.
+// startLocked starts a transaction if the queue has writes, fewer than maxInFlight
+// transactions are in flight, and none is waiting for budget.
 func (c *Committer) startLocked(q *writeQueue) {
-	if q.inFlight < maxInFlight && len(q.writes) > 0 && !q.waiting {
+	if q.inFlight < maxInFlight && len(q.writes) > 0 && !q.awaitingBudget {
 		q.inFlight++
-		q.waiting = true
+		q.awaitingBudget = true
 		go c.run(q)
 	}
 }
 
-// run sends one transaction until each of its writes has its result.
+// run sends one transaction, and retries it until each of its writes has a result or
+// is back in the queue.
 func (c *Committer) run(q *writeQueue) {
-	batch := c.next(q)
+	batch := c.nextBatch(q)
 	defer c.endTransaction(q)
 	backoff := minBackoff
 	for len(batch) > 0 {
@@ -112,13 +117,13 @@
 			c.splitRejected(q, batch, err)
 			return
 		default:
-			batch = retryable(batch, err)
+			batch = keepRetryable(batch, err)
 			if len(batch) > 0 {
 				time.Sleep(backoff)
 				backoff = min(2*backoff, maxBackoff)
 			}
 		}
-		if len(batch) > 0 && c.acquireFor(batch) != nil {
+		if len(batch) > 0 && c.acquireBudget(batch) != nil {
 			return
 		}
 	}
@@ -131,58 +136,60 @@
 	c.startLocked(q)
 }
 
-// next waits for budget and takes the next transaction's writes only then: what
-// is most urgent at that moment goes first. It returns none if the queue has
-// become empty.
-func (c *Committer) next(q *writeQueue) []*queuedWrite {
+// nextBatch waits for budget and returns the writes of the next transaction. It
+// chooses them only after the wait, so that those that are most urgent by then go
+// first. The result is empty if the queue has become empty.
+func (c *Committer) nextBatch(q *writeQueue) []*queuedWrite {
 	for {
-		planned := c.peekOrStop(q)
+		planned := c.planBatch(q)
 		if len(planned) == 0 {
 			return nil
 		}
-		priority, most := budgetFor(planned)
-		granted, err := c.client.budget.AcquireUpTo(context.Background(), priority, len(planned[0].Then), most)
+		priority, maxWrites := budgetFor(planned)
+		granted, err := c.client.budget.AcquireUpTo(context.Background(), priority, len(planned[0].Then), maxWrites)
 		if err != nil {
-			continue // cannot happen: the context never ends
+			continue // cannot happen, since the context never ends
 		}
-		return c.take(q, granted)
+		return c.takeBatch(q, granted)
 	}
 }
 
-// peekOrStop returns the writes that the next transaction would hold now. If
-// there are none, nobody waits for budget any more.
-func (c *Committer) peekOrStop(q *writeQueue) []*queuedWrite {
+// planBatch returns the writes that the next transaction would contain at this
+// moment. If there are none, it clears awaitingBudget, since the caller then does not
+// wait for budget.
+func (c *Committer) planBatch(q *writeQueue) []*queuedWrite {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	q.dropStale()
-	planned := q.peek(c.maxChanges, c.maxConditions())
+	planned := q.peekBatch(c.maxChanges, c.maxConditions())
 	if len(planned) == 0 {
-		q.waiting = false
+		q.awaitingBudget = false
 	}
 	return planned
 }
 
-// take removes the next transaction's writes from the queue, for which there is
-// budget for so many changes, and lets the transaction after it wait for its own.
-func (c *Committer) take(q *writeQueue, maxChanges int) []*queuedWrite {
+// takeBatch removes the writes of the next transaction from the queue and returns
+// them. maxChanges is the number of changes for which budget was granted. The
+// transaction after it may then wait for its own budget.
+func (c *Committer) takeBatch(q *writeQueue, maxChanges int) []*queuedWrite {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	q.dropStale()
-	batch := q.take(maxChanges, c.maxConditions())
-	q.waiting = false
+	batch := q.takeBatch(maxChanges, c.maxConditions())
+	q.awaitingBudget = false
 	c.startLocked(q)
 	return batch
 }
 
-// acquireFor waits for the budget that a transaction of the writes takes. It
+// acquireBudget waits for the budget that a transaction of the writes needs. It
 // cannot fail, since its context never ends.
-func (c *Committer) acquireFor(batch []*queuedWrite) error {
+func (c *Committer) acquireBudget(batch []*queuedWrite) error {
 	priority, changes := budgetFor(batch)
 	return c.client.budget.Acquire(context.Background(), priority, changes)
 }
 
-// budgetFor returns the budget that a transaction of the writes takes: the
-// priority of the most urgent one and the changes of all.
+// budgetFor returns the budget that a transaction of the writes needs: the priority
+// of the most urgent write, and the number of changes of all writes.
 func budgetFor(batch []*queuedWrite) (p Priority, changes int) {
 	p = priorities
 	for _, w := range batch {
@@ -191,16 +198,17 @@
 	return p, changes
 }
 
-// send makes one attempt of a transaction of the writes. It outlives any single
-// writer's context: the others still wait for it.
+// send makes one attempt of a transaction of the writes. It does not use the context
+// of any of their callers, since the other callers still wait for the result when
+// one has given up.
 func (c *Committer) send(batch []*queuedWrite) (revision uint64, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
 	return c.client.sendTxn(ctx, mergeWrites(batch))
 }
 
-// mergeWrites makes one transaction of all the writes. A condition that several
-// of them have is named once.
+// mergeWrites returns one transaction with the conditions and changes of all the
+// writes. A condition that several writes share is included once.
 func mergeWrites(batch []*queuedWrite) wire.Txn {
 	txn := wire.Txn{}
 	seen := map[wire.Condition]bool{}
--- a/internal/state/doc.go
+++ b/internal/state/doc.go
@@ -1,8 +1,8 @@
 // Package state is the client of the consensus-backed key-value store that holds
-// everything durable.
+// all durable data.
 //
-// A Client sends single requests, within a Budget that serves them by
+// A Client sends single requests. Its Budget limits their rate and serves them by
 // priority. A Committer groups concurrent writes into transactions. A
 // FailoverTransport sends requests through another controller while this
-// one's own path to the store fails.
+// controller's direct path to the store fails.
 package state
--- a/internal/state/errors.go
+++ b/internal/state/errors.go
@@ -6,20 +6,20 @@
 	"slices"
 )
 
-// Errors of the client. A request that failed with ErrUnavailable was surely
-// not carried out; one that failed with ErrUnknown may have been, or may still
-// be. Users read these texts in responses with status 503, so they are part of
-// the interface.
+// Errors of the client. A request that failed with ErrUnavailable was not carried
+// out; one that failed with ErrUnknown may have been carried out, or may still be.
+// Users read these texts in responses with status 503, so they are part of the API.
 var (
 	ErrUnavailable = errors.New("state service unavailable")
 	ErrUnknown     = errors.New("no response from the state service")
 	ErrNotFound    = errors.New("no such key or lease")
 	ErrCompacted   = errors.New("the watched revision is too old")
-	// ErrRejected means that the service will never carry the request out as it
-	// is, for example because it is larger than the service's limits.
+	// ErrRejected means that the service rejects the request permanently, for
+	// example because it exceeds the service's size limits. Retrying it unchanged is
+	// useless.
 	ErrRejected = errors.New("rejected by the state service")
-	// ErrNotSent means that a Transport surely did not send the request: there
-	// was no connection.
+	// ErrNotSent means that a Transport did not send the request because it had no
+	// connection.
 	ErrNotSent = errors.New("not sent")
 )
 
--- a/internal/state/errors_test.go
+++ b/internal/state/errors_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Users read these texts in responses, so renaming things in the code must not
-// change them. Once it did.
+// Users read these texts in responses, so renaming identifiers must not change them.
+// This has happened once.
 func TestErrorTextsAreKept(t *testing.T) {
 	for _, test := range []struct {
 		err  error
--- a/internal/state/failures.go
+++ b/internal/state/failures.go
@@ -7,38 +7,40 @@
 	"reflect"
 )
 
-// retryable ends the writes that are not retried after an attempt without a
-// definite answer, and returns the others.
-func retryable(batch []*queuedWrite, err error) []*queuedWrite {
-	unknown := !errors.Is(err, ErrUnavailable)
+// keepRetryable returns the writes to retry after an attempt without a definite
+// result, and ends the others with an error.
+func keepRetryable(batch []*queuedWrite, err error) []*queuedWrite {
+	outcomeUnknown := !errors.Is(err, ErrUnavailable)
 	var retries []*queuedWrite
 	for _, w := range batch {
-		// Most often the connection broke, and another path has an answer.
-		firstUnknown := unknown && !w.unknown
-		w.unknown = w.unknown || unknown
+		// The usual cause is a broken connection, and a retry over another path
+		// succeeds.
+		firstUnknown := outcomeUnknown && !w.outcomeUnknown
+		w.outcomeUnknown = w.outcomeUnknown || outcomeUnknown
 		if (w.RetryUntilAnswered || firstUnknown) && w.ctx.Err() == nil {
 			retries = append(retries, w)
 			continue
 		}
-		w.done <- commitResult{err: w.failure(err)}
+		w.done <- commitResult{err: w.finalError(err)}
 	}
 	return retries
 }
 
-// failure is the error of a write whose last attempt failed with err: unknown if
-// any attempt had no response.
-func (w *queuedWrite) failure(err error) error {
-	if w.unknown {
+// finalError returns the error of a write whose last attempt failed with err. It
+// includes ErrUnknown if any attempt had no response.
+func (w *queuedWrite) finalError(err error) error {
+	if w.outcomeUnknown {
 		return errors.Join(ErrUnknown, err)
 	}
 	return err
 }
 
-// splitRejected never sends a rejected transaction again unchanged: its writes
-// go one by one, and one that was rejected alone fails for good.
+// splitRejected queues the writes of a rejected transaction again, each to be sent in
+// a transaction of its own: the same transaction would be rejected each time. A write
+// that was rejected in a transaction of its own is not retried.
 func (c *Committer) splitRejected(q *writeQueue, batch []*queuedWrite, err error) {
 	if len(batch) == 1 {
-		c.endRejected(batch[0], err)
+		c.resolveRejected(batch[0], err)
 		return
 	}
 	for _, w := range batch {
@@ -51,9 +53,10 @@
 	}
 }
 
-// endRejected ends a write that was rejected alone. What an earlier attempt
-// without response has done is read back.
-func (c *Committer) endRejected(w *queuedWrite, err error) {
+// resolveRejected ends a write that was rejected in a transaction of its own. If an
+// earlier attempt had no response, the result is read back, since that attempt may
+// have been carried out.
+func (c *Committer) resolveRejected(w *queuedWrite, err error) {
 	if w.mayHaveApplied() {
 		if result := c.readBack(w, nil); result.err == nil {
 			w.done <- result
@@ -63,10 +66,11 @@
 	w.done <- commitResult{err: err}
 }
 
-// resolveConflict ends the writes whose conditions failed and returns the
-// others, which go again at once. A write that had no response before may have
-// been carried out by that very attempt, so it is read back: here the conflict
-// proves that its conditions have moved on.
+// resolveConflict ends the writes whose conditions failed and returns the others,
+// which are retried at once. If an earlier attempt of a failed write had no response,
+// that attempt may have been carried out and may itself have changed the keys of the
+// conditions, so the result is read back. It is final: the conditions no longer hold,
+// so no attempt can be carried out any more.
 func (c *Committer) resolveConflict(batch []*queuedWrite, conflict *Conflict) []*queuedWrite {
 	var retries []*queuedWrite
 	for _, w := range batch {
@@ -83,8 +87,8 @@
 	if len(retries) < len(batch) {
 		return retries
 	}
-	// The service named no key that any write is conditional on: never loop on
-	// that.
+	// The failed keys belong to no write's conditions. Retrying all writes could
+	// loop forever, so they all fail.
 	for _, w := range retries {
 		w.done <- commitResult{err: conflict}
 	}
@@ -102,8 +106,9 @@
 	return failed
 }
 
-// readBack finds out whether an earlier attempt of w was carried out: then every
-// change is in place. Otherwise the result is a Conflict on the failed keys.
+// readBack determines whether an earlier attempt of w was carried out, by reading
+// the keys that w changes. If one of them does not have the value that w gives it,
+// the result is a Conflict on the failed keys.
 func (c *Committer) readBack(w *queuedWrite, failed []string) commitResult {
 	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
@@ -126,7 +131,7 @@
 	return commitResult{revision: revision}
 }
 
-// sameJSON reports whether two texts encode the same JSON value.
+// sameJSON reports whether a and b encode the same JSON value.
 func sameJSON(a, b json.RawMessage) bool {
 	var x, y any
 	if json.Unmarshal(a, &x) != nil || json.Unmarshal(b, &y) != nil {
--- a/internal/state/keys.go
+++ b/internal/state/keys.go
@@ -6,21 +6,21 @@
 	"strings"
 )
 
-// MemberKey returns a key that one membership of a node alone writes. since is
-// the epoch token of the membership, so no two memberships ever have the same
-// key.
+// MemberKey returns a key that is written during one membership of a node only.
+// since is the token of the epoch in which the membership began, so no two
+// memberships ever write the same key.
 func MemberKey(prefix, node string, since uint64, name string) string {
 	return fmt.Sprintf("%s%s/%d/%s", prefix, node, since, name)
 }
 
-// KeyOwner is the membership that alone writes a key made by MemberKey.
+// KeyOwner identifies the only membership that writes a key made by MemberKey.
 type KeyOwner struct {
 	Node  string
-	Since uint64 // epoch token of the membership
+	Since uint64 // token of the epoch in which the membership began
 }
 
-// OwnerOfKey returns the membership that writes a key made by MemberKey; ok is
-// false for a key of another form.
+// OwnerOfKey returns the membership that writes a key made by MemberKey. ok is
+// false if MemberKey cannot have made the key.
 func OwnerOfKey(prefix, key string) (owner KeyOwner, ok bool) {
 	parts := strings.Split(strings.TrimPrefix(key, prefix), "/")
 	if len(parts) != 3 {
@@ -30,9 +30,9 @@
 	return KeyOwner{Node: parts[0], Since: since}, err == nil
 }
 
-// CountFittingNames returns how many of the names fit a value of limit bytes, at
-// least one. The value takes base bytes without any name, and each name takes
-// perName bytes besides its own.
+// CountFittingNames returns how many of the names, from the first on, fit in a value
+// of limit bytes. The result is at least one unless there are no names. The value
+// without names takes base bytes, and each name takes its length plus perName bytes.
 func CountFittingNames(names []string, base, perName, limit int) int {
 	size := base
 	for i, name := range names {
--- a/internal/state/priority.go
+++ b/internal/state/priority.go
@@ -1,17 +1,17 @@
 package state
 
-// Priority orders the requests of one controller to the key-value store. Lower
-// values are served first.
+// Priority determines the order in which a controller's requests to the key-value
+// store are served. Lower values are served first.
 type Priority int
 
 // The priorities, most important first.
 const (
-	Urgent     Priority = iota // lease renewals, the epoch
+	Urgent     Priority = iota // lease renewals, the epoch, and acquiring duties
 	Placement                  // the journal of placements, one write at a time
-	Safety                     // ends of jobs, cancellations, and answers to users
+	Safety                     // ends of jobs, cancellations, and reads for user requests
 	Submission                 // accepting new jobs
-	Background                 // what nobody waits for
-	priorities                 // how many there are
+	Background                 // requests that no caller is blocked by
+	priorities                 // the number of priorities
 )
 
 // String returns the priority's name for logs and metrics.
--- a/internal/state/queue.go
+++ b/internal/state/queue.go
@@ -5,24 +5,26 @@
 	"time"
 )
 
-// maxTxnBytes leaves room for the envelope below the service's 64 KiB.
+// maxTxnBytes is the maximum size of the changes and conditions of a transaction.
+// The service's limit is 64 KiB; the difference is for the JSON around them.
 const maxTxnBytes = 56 << 10
 
-// conditionsPerChange is how many conditions a transaction may hold for each
-// change that it may hold.
+// conditionsPerChange is the ratio of the maximum number of conditions in a
+// transaction to the maximum number of changes.
 const conditionsPerChange = 4
 
-// writeQueue holds the waiting writes of one of two kinds: those that only
-// compare, and those that change something. The kinds are sent apart: a
-// comparison that fails would cost a transaction's changes once more, and need
-// not wait for their limit.
+// writeQueue holds queued writes of one of two kinds: comparisons, which have
+// conditions only, and writes with changes. The kinds have separate queues and
+// transactions for two reasons. A comparison that fails would make the changes in its
+// transaction fail too, and their retry would take write budget once more. And
+// comparisons take no write budget, so they need not wait for it.
 type writeQueue struct {
-	writes   []*queuedWrite // the one that has waited longest first
-	inFlight int            // transactions
-	waiting  bool           // a transaction is waiting for budget
+	writes         []*queuedWrite // within a priority ordered by QueuedAt, oldest first
+	inFlight       int            // number of transactions in flight or waiting for budget
+	awaitingBudget bool           // one of them is waiting for the budget of its first attempt
 }
 
-// insert puts a write behind those that have waited as long or longer.
+// insert puts a write behind those that were queued at the same time or earlier.
 func (q *writeQueue) insert(w *queuedWrite) {
 	i := len(q.writes)
 	for i > 0 && q.writes[i-1].QueuedAt.After(w.QueuedAt) {
@@ -31,7 +33,8 @@
 	q.writes = slices.Insert(q.writes, i, w)
 }
 
-// dropStale ends the writes that must not be sent any more.
+// dropStale removes the writes that must no longer be sent and ends them with an
+// error.
 func (q *writeQueue) dropStale() {
 	q.writes = slices.DeleteFunc(q.writes, func(w *queuedWrite) bool {
 		reason := w.dropReason()
@@ -42,23 +45,24 @@
 	})
 }
 
-// peek returns the writes of a transaction with at most maxChanges changes and
-// leaves them in the queue. The first one is among them even if it is too large.
-func (q *writeQueue) peek(maxChanges, maxConditions int) []*queuedWrite {
-	batch, _ := q.split(newBatchBuilder(maxChanges, maxConditions, true))
+// peekBatch returns the writes of a transaction within the limits and leaves them in
+// the queue. The first write is included even if it exceeds the limits by itself.
+func (q *writeQueue) peekBatch(maxChanges, maxConditions int) []*queuedWrite {
+	batch, _ := q.selectBatch(newBatchBuilder(maxChanges, maxConditions, true))
 	return batch
 }
 
-// take removes the writes of a transaction with at most maxChanges changes from
-// the queue and returns them.
-func (q *writeQueue) take(maxChanges, maxConditions int) []*queuedWrite {
-	batch, rest := q.split(newBatchBuilder(maxChanges, maxConditions, false))
+// takeBatch removes the writes of a transaction within the limits from the queue and
+// returns them.
+func (q *writeQueue) takeBatch(maxChanges, maxConditions int) []*queuedWrite {
+	batch, rest := q.selectBatch(newBatchBuilder(maxChanges, maxConditions, false))
 	q.writes = rest
 	return batch
 }
 
-// split chooses the writes of the next transaction, the most urgent first.
-func (q *writeQueue) split(b *batchBuilder) (batch, rest []*queuedWrite) {
+// selectBatch selects the writes of the next transaction, the most urgent first, and
+// returns them and the other writes.
+func (q *writeQueue) selectBatch(b *batchBuilder) (batch, rest []*queuedWrite) {
 	for p := range priorities {
 		for _, w := range q.writes {
 			if w.Priority != p {
@@ -74,8 +78,8 @@
 	return b.batch, rest
 }
 
-// longestWait returns how long the write that has waited longest has waited, of
-// priority p and more important ones.
+// longestWait returns the longest time that any write in the queue of priority p or a
+// more important one has waited.
 func (q *writeQueue) longestWait(p Priority, now time.Time) (longest time.Duration) {
 	for _, w := range q.writes {
 		if w.Priority <= p {
@@ -99,10 +103,11 @@
 		changedKeys: map[string]bool{}}
 }
 
-// accepts reports whether the write may go with those of the batch. Together
-// they must do what they would do one after the other: a write waits if one
-// before it changes a key that it changes too or depends on. In one transaction
-// both would find the key as it was: a job was cancelled and done at once.
+// accepts reports whether the write may be added to the batch. A transaction must
+// have the same effect as its writes one after the other, so a write must wait if one
+// in the batch changes a key that it changes too or is conditional on. In one
+// transaction the conditions of both would be compared with the old value of the key:
+// a job was once both cancelled and done because of that.
 func (b *batchBuilder) accepts(w *queuedWrite) bool {
 	first := len(b.batch) == 0
 	if !first && (w.sendAlone || b.batch[0].sendAlone) {
--- a/internal/state/reread.go
+++ b/internal/state/reread.go
@@ -12,10 +12,11 @@
 	Get(ctx context.Context, p Priority, key string) (wire.Item, error)
 }
 
-// VersionAfterFailedWrite returns the version that a key has after a write of it has failed with
-// err; ok is false if that is not known, or did not change. It is for keys that only
-// the caller writes: what is there is an earlier write of its own, or of an earlier
-// epoch.
+// VersionAfterFailedWrite reads the version of a key after a write of it has failed
+// with err. ok is false if the version could not be read, or if err is a conflict on
+// other keys, after which the version has not changed. It is meant for keys that only
+// the caller writes, so that the value in the store is from a write of its own or of
+// an earlier epoch.
 func VersionAfterFailedWrite(ctx context.Context, reader Reader, p Priority, key string, err error) (version uint64, ok bool) {
 	var conflict *Conflict
 	if ctx.Err() != nil || errors.As(err, &conflict) && !conflict.Includes(key) {
--- a/internal/state/transport.go
+++ b/internal/state/transport.go
@@ -18,33 +18,34 @@
 	Body   []byte
 }
 
-// Transport carries one request to the key-value store and returns its response. An
-// error means that no response came.
+// Transport sends one request to the key-value store and returns its response. An
+// error means that there was no response.
 type Transport interface {
 	Do(ctx context.Context, method, target string, body []byte) (Response, error)
 }
 
 const (
-	// maxConnections bounds the requests that are in flight at once: a few
-	// watches and transactions, and what users and a takeover read.
+	// maxConnections bounds the number of requests in flight. It leaves room for a
+	// few watches and transactions, and for the reads of user requests and of a
+	// takeover.
 	maxConnections = 32
 	dialTimeout    = time.Second
 	// idleConnectionTimeout is how long an unused connection is kept.
 	idleConnectionTimeout = time.Minute
 )
 
-// HTTPTransport sends requests straight to the key-value store.
+// HTTPTransport sends requests directly to the key-value store.
 type HTTPTransport struct {
 	client *fasthttp.HostClient
 }
 
-// NewHTTPTransport makes a Transport to the key-value store at addr.
+// NewHTTPTransport returns a Transport to the key-value store at addr.
 func NewHTTPTransport(addr string) *HTTPTransport {
 	return &HTTPTransport{client: &fasthttp.HostClient{
 		Addr:                          addr,
 		MaxConns:                      maxConnections,
 		MaxIdleConnDuration:           idleConnectionTimeout,
-		MaxIdemponentCallAttempts:     1, // a silent retry would hide that the first attempt may have been carried out
+		MaxIdemponentCallAttempts:     1, // a retry inside the client would hide that the first attempt may have been carried out
 		NoDefaultUserAgentHeader:      true,
 		DisableHeaderNamesNormalizing: true,
 		Dial:                          dialService,
--- a/internal/state/usage.go
+++ b/internal/state/usage.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Usage is what was taken of a Budget.
+// Usage counts what was granted from a Budget, and how long requests waited for it.
 type Usage struct {
 	Requests, Writes       int
-	TotalWait, LongestWait time.Duration // for the budget: the sum and the maximum
+	TotalWait, LongestWait time.Duration
 }
 
 func (u *Usage) add(writes int, waited time.Duration) {
@@ -15,7 +15,7 @@
 	u.LongestWait = max(u.LongestWait, waited)
 }
 
-// UsageByPriority returns what was used under each priority since it was last called.
+// UsageByPriority returns the usage by each priority since the previous call.
 func (b *Budget) UsageByPriority() [priorities]Usage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -24,37 +24,39 @@
 	return usage
 }
 
-// TotalUsage returns what was used under all priorities since it was last called.
-// LongestWait covers requests that still wait, too; waits of capped priorities count
-// as none.
+// TotalUsage returns the usage by all priorities since the previous call. Its
+// LongestWait includes requests that are still waiting. Waits of priorities for which
+// waitExpected is true count as zero.
 func (b *Budget) TotalUsage() Usage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	window := b.window
-	b.window = Usage{}
+	total := b.total
+	b.total = Usage{}
 	for p := range priorities {
-		if b.capped(p) {
+		if b.waitExpected(p) {
 			continue
 		}
 		for _, w := range b.waiting[p] {
-			window.LongestWait = max(window.LongestWait, now.Sub(w.since))
+			total.LongestWait = max(total.LongestWait, now.Sub(w.enqueuedAt))
 		}
 	}
-	return window
+	return total
 }
 
-// recordUsage records what a request took.
+// recordUsage adds a request that was granted to the usage of its priority and to
+// the total.
 func (b *Budget) recordUsage(p Priority, writes int, waited time.Duration) {
 	b.usage[p].add(writes, waited)
-	if b.capped(p) {
+	if b.waitExpected(p) {
 		waited = 0
 	}
-	b.window.add(writes, waited)
+	b.total.add(writes, waited)
 }
 
-// capped reports whether waiting under a priority does not mean that the budget
-// is short: it may not use all of it, or nobody waits for its requests.
-func (b *Budget) capped(p Priority) bool {
+// waitExpected reports whether a wait by requests of a priority does not show that
+// the budget is too small: either the priority may not use the whole budget, or no
+// caller is blocked by its requests.
+func (b *Budget) waitExpected(p Priority) bool {
 	return p == Background || b.priorityWrites[p].rate < b.writes.rate
 }
--- a/internal/state/write.go
+++ b/internal/state/write.go
@@ -9,28 +9,30 @@
 	"heronwick/wire"
 )
 
-// Write is one unit of work for a Committer: its changes are made together,
-// when its conditions hold.
+// Write is a unit of work for a Committer. Its changes are made atomically if all
+// its conditions hold.
 type Write struct {
 	Priority Priority
 	If       []wire.Condition
 	Then     []wire.Change
-	// RetryUntilAnswered retries the write until the service gives a definite answer or
-	// the context ends. Otherwise it fails with ErrUnavailable after one
-	// attempt, with ErrUnknown after a second without response.
+	// RetryUntilAnswered makes the write be retried until the service gives a definite
+	// answer or the context ends. If it is not set, the write fails with
+	// ErrUnavailable after one attempt that was not carried out, or with ErrUnknown
+	// after two attempts without a response.
 	RetryUntilAnswered bool
-	// StillValid reports, right before sending, whether the write can still succeed;
-	// nil: it can. Sending one that cannot would use up budget that others wait
-	// for.
+	// StillValid reports whether the write can still succeed; nil means that it always
+	// can. It is called right before the write is sent, since sending a write that
+	// must fail would use budget that other writes need.
 	StillValid func() bool
-	// QueuedAt is when the write began to wait; zero: now. Among writes of one
-	// priority the oldest goes first, so one that is retried under another
-	// epoch keeps its place.
+	// QueuedAt is the time from which the write counts as queued; the zero value means
+	// the time of the Commit call. Within a priority, writes are sent in the order of
+	// QueuedAt, so a write that is retried under a new epoch keeps its position in
+	// the queue.
 	QueuedAt time.Time
 }
 
-// dependsOn reports whether the write changes one of the keys or is conditional
-// on one.
+// dependsOn reports whether the write changes one of the keys, or has a condition on
+// one.
 func (w *Write) dependsOn(keys map[string]bool) bool {
 	if len(keys) == 0 {
 		return false
@@ -39,13 +41,13 @@
 		slices.ContainsFunc(w.Then, func(c wire.Change) bool { return keys[changedKey(c)] })
 }
 
-// Bytes that the syntax of a transaction's parts takes at most.
+// Upper bounds for the JSON encoding of a transaction.
 const (
-	changeOverhead = 64
-	conditionBytes = 100 // with its key
+	changeOverhead = 64  // bytes of a change without its key and value
+	conditionBytes = 100 // bytes of a condition with its key
 )
 
-// bytes is about what the write takes of a transaction's size.
+// bytes returns an estimate of what the write adds to the size of a transaction.
 func (w *Write) bytes() int {
 	size := conditionBytes * len(w.If)
 	for _, change := range w.Then {
@@ -54,54 +56,55 @@
 	return size
 }
 
-// changedKey is the key that a change puts or deletes.
+// changedKey returns the key that a change puts or deletes.
 func changedKey(change wire.Change) string { return change.Put + change.Delete }
 
-// FencingCondition ties writes to the epoch under which they were decided.
+// FencingCondition is a condition on the epoch under which writes were decided, so
+// that they fail once there is a newer epoch.
 type FencingCondition struct {
 	Condition wire.Condition
-	IsCurrent func() bool // whether the condition can still hold, without asking the service
-	QueuedAt  time.Time   // when the writes were first decided, see Write
+	IsCurrent func() bool // reports whether the condition can still hold, from local state
+	QueuedAt  time.Time   // when the writes were first queued; see Write.QueuedAt
 }
 
-// Bind makes a write fail once the condition is outdated: unsent, where that is
-// known.
+// Bind adds the condition to a write. The write is not even sent if IsCurrent
+// reports that the condition no longer holds.
 func (f FencingCondition) Bind(w Write) Write {
 	w.If = append([]wire.Condition{f.Condition}, w.If...)
 	w.QueuedAt = f.QueuedAt
-	fresh := w.StillValid
-	w.StillValid = func() bool { return f.IsCurrent() && (fresh == nil || fresh()) }
+	stillValid := w.StillValid
+	w.StillValid = func() bool { return f.IsCurrent() && (stillValid == nil || stillValid()) }
 	return w
 }
 
-// queuedWrite is a write that waits in a queue or is in flight.
+// queuedWrite is a write that is in a queue or in flight.
 type queuedWrite struct {
 	Write
-	ctx       context.Context
-	unknown   bool // an earlier attempt had no response
-	sendAlone bool // a transaction with others beside it was rejected
-	done      chan commitResult
+	ctx            context.Context
+	outcomeUnknown bool // an earlier attempt had no response
+	sendAlone      bool // a transaction of this and other writes was rejected
+	done           chan commitResult
 }
 
-// commitResult is what Commit returns for a write.
+// commitResult holds what Commit returns for a write.
 type commitResult struct {
 	revision uint64
 	err      error
 }
 
-// mayHaveApplied reports whether an earlier attempt may have made the write's
-// changes.
-func (w *queuedWrite) mayHaveApplied() bool { return w.unknown && len(w.Then) > 0 }
+// mayHaveApplied reports whether an earlier attempt may have made the changes of the
+// write.
+func (w *queuedWrite) mayHaveApplied() bool { return w.outcomeUnknown && len(w.Then) > 0 }
 
-// dropReason returns the error with which the write ends unsent, nil if it may
-// still be sent.
+// dropReason returns the error with which the write must end without being sent, or
+// nil if it may be sent.
 func (w *queuedWrite) dropReason() error {
 	if w.StillValid != nil && !w.StillValid() {
 		return &Conflict{}
 	}
 	if err := w.ctx.Err(); err != nil {
-		// Its caller has given up, and asks again: what nobody waits for must
-		// not use up what others wait for.
+		// The caller has given up, and may retry. A write that no caller waits for
+		// must not use budget that others need.
 		return errors.Join(ErrUnavailable, err)
 	}
 	return nil
