--- a/internal/cluster/assignment.go
+++ b/internal/cluster/assignment.go
@@ -6,13 +6,15 @@
 	"slices"
 )
 
-// moveThreshold is the part of the giver's load below which the receiver of a
-// team must stay: otherwise the move is not worth its cost.
+// moveThreshold is the largest ratio of the receiving member's load after a move
+// to the giving member's load before it. Above this ratio, the balance improves
+// too little to justify the cost of the move.
 const moveThreshold = 0.75
 
-// assignTeams gives every team of weights an owner among the members and forgets
-// all other teams. A team whose owner is a member moves only if that evens out
-// the work by much: a move costs its tasks a second owner.
+// assignTeams assigns every team in weights to a member and removes all other
+// teams from the epoch. A team whose owner is still a member moves only if that
+// improves the balance considerably, because after a move its tasks still run on
+// the machines of the previous owner.
 func (e *Epoch) assignTeams(weights map[string]float64) {
 	a := newAssignment(e, weights)
 	a.assignUnowned()
@@ -27,9 +29,9 @@
 type assignment struct {
 	epoch   *Epoch
 	weights map[string]float64 // by team
-	load    map[string]float64 // by member, of the teams that it owns
-	nodes   []string           // the members, by name
-	teams   []string           // the heaviest first
+	load    map[string]float64 // by member, total weight of the teams that it owns
+	nodes   []string           // the members, sorted by name
+	teams   []string           // in descending order of weight
 }
 
 func newAssignment(e *Epoch, weights map[string]float64) *assignment {
@@ -56,9 +58,10 @@
 	return slices.MinFunc(a.nodes, func(x, y string) int { return cmp.Compare(a.load[x], a.load[y]) })
 }
 
-// assignUnowned gives the teams without an owner that is a member a new one. The
-// leader takes the machines of a member that has gone, so it takes its teams too:
-// elsewhere all their tasks would run on another owner's machines.
+// assignUnowned assigns the teams whose owner is missing or no longer a member to
+// the leader. The leader takes over the machines of a former member, so it also
+// takes over the teams: with any other owner, all tasks of these teams would run
+// on machines of another member.
 func (a *assignment) assignUnowned() {
 	var unowned []string
 	for _, team := range a.teams {
@@ -79,8 +82,9 @@
 	}
 }
 
-// rebalance moves teams to the least loaded member where that is worth it, the
-// lightest first: a move leaves the team's tasks on others' machines.
+// rebalance moves teams to the least loaded member where moveThreshold allows it.
+// It starts with the lightest teams, because the running tasks of a moved team
+// remain on the machines of the previous owner.
 func (a *assignment) rebalance() {
 	for _, team := range slices.Backward(a.teams) {
 		weight := a.weights[team]
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -11,57 +11,57 @@
 	"heronwick/wire"
 )
 
-// Keys of the store that this package owns.
+// Keys in the key-value store that only this package writes.
 const (
 	prefix    = "cluster/"
 	epochKey  = prefix + "epoch"
 	leaderKey = prefix + "leader"
 )
 
-// Cluster is this controller's view of the deployment. It is safe for concurrent
-// use.
+// Cluster is one controller's participation in the cluster: it tracks the epoch,
+// the members and the owners of machines. It is safe for concurrent use.
 type Cluster struct {
 	opts                    Options
-	incarnation             uint64 // of this controller, random
+	incarnation             uint64 // random identifier of this run of the controller
 	startedAt               time.Time
 	timeouts                timeouts
 	confirmationTTL         time.Duration
-	expiryFitsCancelTimeout bool          // a lease expiry after the confirmation TTL fits within CancelTimeout
-	electionTrigger         chan struct{} // poked when the epoch or the leader key changes
+	expiryFitsCancelTimeout bool          // confirmation TTL and worker lease together fit within CancelTimeout
+	electionTrigger         chan struct{} // requests an election round at once; buffered, so that requests coalesce
 
 	mu sync.Mutex
 
-	// What the store holds, as far as known.
-	revision      uint64 // up to which the watched keys are known
-	epochLoaded   bool   // the epoch was read since this controller started
+	// Last known contents of the store.
+	revision      uint64 // of the store, up to which changes have been applied
+	epochLoaded   bool   // the epoch has been read since this controller started
 	epoch         Epoch
 	version       uint64 // of the epoch key
 	leader        leaderRecord
-	leaderVersion uint64              // of the leader key; 0: there is no leader
+	leaderVersion uint64              // of the leader key; 0 means that there is no leader
 	owners        map[string]Owner    // by machine
 	transfers     map[string]transfer // by key
 	features      features
 
-	// This controller's part.
-	lease            uint64    // of the leader key
-	steppedDownAt    time.Time // when this leader asked the others to take over
-	transfersWritten uint64
-	stopMembership   context.CancelFunc // nil: no RunMembership runs
+	// State of this controller as leader and member.
+	lease            uint64             // ID of the lease of the leader key
+	steppedDownAt    time.Time          // when this controller last gave up the leader key
+	transfersWritten uint64             // number of the last transfer key, see NewTransfer
+	stopMembership   context.CancelFunc // stops RunMembership; nil if it is not running
 	membershipDone   chan struct{}      // closed when the current RunMembership has returned
 
-	// The proof that the epoch is current.
-	confirmedAt           time.Time // when the last confirmation, cancellations included, was requested
-	cancellationsSyncedAt time.Time // when the store last showed all cancellations
-	confirmationExpired   bool      // as last logged
+	// Evidence that the epoch is current.
+	confirmedAt           time.Time // when the last request was sent that confirmed the epoch together with all cancellations
+	cancellationsSyncedAt time.Time // when the last list was requested after which all cancellations were known
+	confirmationExpired   bool      // whether the last logged state was expired
 	fence                 fence
-	fenceRecords          []fenceRecord // by token, ascending
+	fenceRecords          []fenceRecord // in ascending order of token
 
-	// What the others say.
+	// Information received from peers and workers.
 	peers        map[string]*peer
-	workersHeard map[string]time.Time // by machine, see RecordWorkerHeartbeat
+	workersHeard map[string]time.Time // by machine, time of the last heartbeat, see RecordWorkerHeartbeat
 }
 
-// New makes a Cluster; Run starts it.
+// New returns a Cluster that does nothing until Run is called.
 func New(opts Options) *Cluster {
 	ttl, fits := confirmationTTLFor(opts.LeaseDuration, opts.CancelTimeout)
 	c := &Cluster{
@@ -84,24 +84,24 @@
 	return c
 }
 
-// warnAboutSettings logs settings under which the cluster works badly or not at
-// all.
+// warnAboutSettings logs a warning for settings with which the cluster cannot work
+// as intended.
 func (c *Cluster) warnAboutSettings() {
 	if !c.expiryFitsCancelTimeout {
-		c.opts.Log.Warn("cancel_s leaves too little time for a lease to expire: cancellations are confirmed only once every controller knows them",
-			"lease", c.opts.LeaseDuration, "cancel_in", c.opts.CancelTimeout, "needed", c.opts.LeaseDuration+leaseExpirySlack(c.opts.LeaseDuration)+minConfirmationTTL)
+		c.opts.Log.Warn("cancel_s leaves too little time for a worker lease to expire: cancellations are confirmed only after every controller has acknowledged them",
+			"lease", c.opts.LeaseDuration, "cancel_timeout", c.opts.CancelTimeout, "needed", c.opts.LeaseDuration+leaseExpirySlack(c.opts.LeaseDuration)+minConfirmationTTL)
 	}
 	nodes := []string{c.opts.Node}
 	for node := range c.opts.Peers {
 		nodes = append(nodes, node)
 	}
 	if size := maxEpochBytes(nodes, c.opts.Teams); c.opts.MaxValueBytes > 0 && size > c.opts.MaxValueBytes {
-		c.opts.Log.Warn("the epoch does not fit a value of the key-value store: no leader can be elected. Fewer teams, shorter names or larger values are needed",
+		c.opts.Log.Warn("the epoch does not fit a value of the key-value store: no leader can be elected; configure fewer teams, shorter names or a larger value limit",
 			"bytes", size, "limit", c.opts.MaxValueBytes, "teams", len(c.opts.Teams))
 	}
 }
 
-// Run takes part in the cluster until ctx ends.
+// Run participates in elections, replication and membership until ctx ends.
 func (c *Cluster) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return c.watch(ctx) })
@@ -113,29 +113,32 @@
 	return g.Wait()
 }
 
-// View is the current epoch and this controller's part in it, as of one moment.
+// View is a consistent snapshot of the current epoch and this controller's role in
+// it.
 type View struct {
-	Epoch     Epoch          // its maps must not be changed
-	Condition wire.Condition // holds while Epoch is current; fences what is decided under it
-	Leader    bool           // this controller leads the epoch
+	Epoch     Epoch          // callers must not modify its maps
+	Condition wire.Condition // true while Epoch is current; fences writes that depend on it
+	Leader    bool           // this controller is the leader of the epoch
 	Member    bool           // this controller is a member of the epoch
 }
 
-// View returns the current epoch and this controller's part in it.
+// View returns the current epoch and this controller's role in it.
 func (c *Cluster) View() View {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return View{Epoch: c.epoch, Condition: c.epochConditionLocked(), Leader: c.isLeaderLocked(), Member: c.isMemberLocked()}
 }
 
-// Token returns the fencing token under which this controller commands workers.
+// Token returns the fencing token of the last known epoch, with which this
+// controller commands workers.
 func (c *Cluster) Token() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.epoch.Token
 }
 
-// epochConditionLocked holds while the epoch is the one that is known here.
+// epochConditionLocked returns the condition that the epoch in the store is still
+// the one that this controller knows.
 func (c *Cluster) epochConditionLocked() wire.Condition {
 	return wire.Condition{Key: epochKey, Version: c.version}
 }
@@ -149,8 +152,9 @@
 }
 
 // HeartbeatTarget returns the node to which a worker should send its heartbeats:
-// the owner of its machine, else the leader, or "" if that one is not known to be
-// alive. owned reports whether the machine has an owner that is a member.
+// the owner of its machine if that is a member, otherwise the leader, or "" if no
+// leader is known to hold the leader key. owned reports whether the machine has an
+// owner that is a member.
 func (c *Cluster) HeartbeatTarget(machine string) (node string, owned bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -166,7 +170,8 @@
 	return c.epoch.Leader, false
 }
 
-// triggerElectionRound has the election look at what changed at once.
+// triggerElectionRound makes runElection start a round at once instead of at its
+// next tick. It does not block.
 func (c *Cluster) triggerElectionRound() {
 	select {
 	case c.electionTrigger <- struct{}{}:
--- a/internal/cluster/confirmation.go
+++ b/internal/cluster/confirmation.go
@@ -5,17 +5,20 @@
 	"time"
 )
 
-// minConfirmationTTL is the shortest confirmation TTL: a few heartbeat intervals.
+// minConfirmationTTL is the shortest useful confirmation TTL: a few heartbeat
+// intervals, so that one lost heartbeat does not let the confirmation expire.
 const minConfirmationTTL = 2500 * time.Millisecond
 
-// leaseExpirySlack is how long after its lease expiry a worker has surely ended
-// its tasks: its clock drifts, and it checks the lease periodically.
+// leaseExpirySlack returns the time after the expiry of its lease within which a
+// worker has stopped its tasks. It allows for the drift of the worker's clock and
+// for the interval at which the worker checks its lease.
 func leaseExpirySlack(lease time.Duration) time.Duration { return lease/1000 + 500*time.Millisecond }
 
-// confirmationTTLFor returns how long a controller may answer heartbeats after
-// one confirmation that its epoch is current: a quarter of a worker lease, and no
-// longer than leaves time for a lease expiry before a cancelled job's tasks must
-// be gone. fits is false if the settings leave no such time.
+// confirmationTTLFor returns how long a controller may answer heartbeats after a
+// confirmation that its epoch is current. This is a quarter of a worker lease, or
+// less if necessary: once the confirmation has expired, the workers' leases must
+// still expire within cancelTimeout, when the tasks of a cancelled job must have
+// stopped. fits is false if even the shortest useful TTL is too long for that.
 func confirmationTTLFor(lease, cancelTimeout time.Duration) (ttl time.Duration, fits bool) {
 	ttl = lease / 4
 	room := cancelTimeout - lease - leaseExpirySlack(lease)
@@ -26,10 +29,10 @@
 }
 
 // CanAnswerHeartbeats reports whether this controller may answer workers'
-// heartbeats now: it is a member, and a confirmation that its epoch is current
-// was requested within the confirmation TTL. Without that bound, a controller cut
-// off from everything but some workers would renew their leases for ever, and
-// nobody could ever count them as expired.
+// heartbeats now: it is a member, and it requested the last confirmation of its
+// epoch less than the confirmation TTL ago. Without this limit, a controller that
+// is partitioned from everything except some workers would renew their leases
+// indefinitely, and no other controller could treat these leases as expired.
 func (c *Cluster) CanAnswerHeartbeats() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,11 +44,11 @@
 }
 
 // confirmByMajorityLocked confirms the epoch as of the latest time at which a
-// majority, this controller included, knew of no newer one. A peer that has not
-// read the epoch since it started does not count: it may have forgotten a newer
-// one.
+// majority of the controllers, including this one, knew no newer epoch. A peer that
+// has not read the epoch since it started does not count: it may have known a newer
+// epoch before its restart.
 func (c *Cluster) confirmByMajorityLocked() {
-	needed := (len(c.peers) + 1) / 2 // peers; with this controller a majority
+	needed := (len(c.peers) + 1) / 2 // peers that form a majority together with this controller
 	if !c.isMemberLocked() || needed == 0 {
 		return
 	}
@@ -57,16 +60,16 @@
 	c.confirmLocked(times[needed-1])
 }
 
-// confirmLocked records a confirmation, requested at a time, that the epoch was
-// current.
+// confirmLocked records that the epoch was current at the given time, which is when
+// the confirmation was requested.
 func (c *Cluster) confirmLocked(at time.Time) {
 	if at.After(c.confirmedAt) {
 		c.confirmedAt = at
 	}
 }
 
-// logConfirmationLocked logs when this controller, a member, begins or ceases to
-// answer no worker for want of a confirmation.
+// logConfirmationLocked logs when this controller, as a member, stops answering
+// workers because its confirmation has expired, and when it resumes.
 func (c *Cluster) logConfirmationLocked() {
 	expired := c.isMemberLocked() && !c.confirmedAt.IsZero() && !c.canAnswerHeartbeatsLocked()
 	if expired == c.confirmationExpired {
@@ -74,8 +77,8 @@
 	}
 	c.confirmationExpired = expired
 	if expired {
-		c.opts.Log.Warn("epoch confirmation expired: no worker is answered until the key-value store or a majority confirms the epoch again",
-			"token", c.epoch.Token, "since", time.Since(c.confirmedAt), "peers_heard", len(c.livePeersLocked()))
+		c.opts.Log.Warn("epoch confirmation expired: worker heartbeats are not answered until the key-value store or a majority of controllers confirms the epoch again",
+			"token", c.epoch.Token, "age", time.Since(c.confirmedAt), "live_peers", len(c.livePeersLocked()))
 	} else {
 		c.opts.Log.Info("epoch confirmed again, or no longer a member", "token", c.epoch.Token)
 	}
--- a/internal/cluster/epoch.go
+++ b/internal/cluster/epoch.go
@@ -8,27 +8,28 @@
 	"strings"
 )
 
-// Epoch says which controllers may command workers, and under which fencing
+// Epoch determines which controllers may command workers, and under which fencing
 // token.
 type Epoch struct {
 	Token       uint64 `json:"token"`
 	Leader      string `json:"leader"`
 	Incarnation uint64 `json:"incarnation"` // of the leader
-	// Members are the controllers that schedule, by node.
+	// Members are the controllers that run a scheduler, by node.
 	Members map[string]Member `json:"members"`
-	// Teams holds the member that owns each team. A job whose team is not listed
-	// belongs to the member that its id hashes to.
+	// Teams maps each team to the member that owns it. A job whose team is not
+	// listed belongs to the member that its ID hashes to.
 	Teams map[string]string `json:"teams"`
 }
 
-// Member is a controller that schedules. One that joins again, in the same
-// incarnation or another, has another Since and owns nothing of what it had.
+// Member is a controller that runs a scheduler. A controller that joins again,
+// whether or not it has restarted, has a different Since and no longer owns what it
+// owned as a member before.
 type Member struct {
 	Incarnation uint64 `json:"incarnation"`
 	Since       uint64 `json:"since"` // token of the epoch in which it joined
 }
 
-// OwnerOf returns the member that owns a job.
+// OwnerOf returns the member that owns a job of a team.
 func (e *Epoch) OwnerOf(team, job string) string {
 	if node, ok := e.Teams[team]; ok {
 		return node
@@ -37,7 +38,7 @@
 }
 
 // rendezvous returns the member with the highest hash for a job (rendezvous
-// hashing): it changes for few jobs when members come or go.
+// hashing). When members join or leave, the result changes for few jobs only.
 func (e *Epoch) rendezvous(job string) string {
 	best, highest := "", uint64(0)
 	for node := range e.Members {
@@ -50,7 +51,7 @@
 	return best
 }
 
-// next returns a copy of the epoch with the next token.
+// next returns a deep copy of the epoch with the token incremented.
 func (e *Epoch) next() Epoch {
 	next := *e
 	next.Token++
@@ -64,9 +65,9 @@
 	return next
 }
 
-// maxEpochBytes returns how many bytes the epoch takes at most with these
-// controllers and teams. It is one value, so the store's limits bound how many
-// there may be.
+// maxEpochBytes returns the maximum size of the encoded epoch with these controllers
+// and teams. The epoch is a single value, so the value limit of the store also
+// limits the number of controllers and teams.
 func maxEpochBytes(nodes, teams []string) int {
 	longest := ""
 	members := map[string]Member{}
@@ -80,7 +81,7 @@
 	}
 	value, err := json.Marshal(Epoch{Token: math.MaxUint64, Leader: longest, Incarnation: math.MaxUint64, Members: members, Teams: owners})
 	if err != nil {
-		panic(err) // an Epoch holds nothing that cannot be encoded
+		panic(err) // cannot happen: every Epoch can be encoded
 	}
 	return len(value)
 }
--- a/internal/cluster/features.go
+++ b/internal/cluster/features.go
@@ -8,27 +8,27 @@
 	"heronwick/wire"
 )
 
-// FeatureLevel says what a version of the software supports. Old and new versions
-// serve side by side during an upgrade. A feature that the older one could not
-// handle safely is used only once every configured controller has been seen with
-// the newer one and that is recorded in the store: from then on none is ever
-// started with the older version again.
+// FeatureLevel identifies the features that a version of the software supports.
+// During a rolling upgrade, old and new versions run side by side. A feature that
+// the old version cannot handle safely is used only after every configured
+// controller has reported the new version and that fact is recorded in the store.
+// From then on, no controller may be started with the old version again.
 type FeatureLevel uint32
 
 // The feature levels.
 const (
-	// LevelNone is the level of versions that report none.
+	// LevelNone is the level of versions that do not report a feature level.
 	LevelNone FeatureLevel = iota
-	// LevelDependencies: jobs may depend on others.
+	// LevelDependencies adds jobs that depend on other jobs.
 	LevelDependencies
-	// LevelDuties: returns and rentals of machines are recorded as intents before
-	// they are requested.
+	// LevelDuties adds intents: returns and rentals of machines are recorded in the
+	// store before they are requested.
 	LevelDuties
 
-	supportedLevel = LevelDuties // by this version
+	supportedLevel = LevelDuties // highest level that this version supports
 )
 
-// featuresKey holds the recorded level. Versions without levels ignore it.
+// featuresKey holds the recorded level. Versions without feature levels ignore it.
 const featuresKey = prefix + "features"
 
 // featuresRecord is the value of featuresKey.
@@ -36,17 +36,17 @@
 	Level FeatureLevel `json:"level"`
 }
 
-// features is the recorded level, as far as this controller has seen.
+// features is the recorded level as last read from the store.
 type features struct {
 	level   FeatureLevel
-	version uint64 // of the key; 0: there is none
+	version uint64 // of featuresKey; 0 means that the key does not exist
 }
 
-// Supports reports whether the deployment has the level. Once it has, it always
-// will.
+// Supports reports whether the deployment has the level. Once it returns true, it
+// never returns false again.
 func (c *Cluster) Supports(level FeatureLevel) bool { return c.FeatureLevel() >= level }
 
-// FeatureLevel returns the deployment's recorded level.
+// FeatureLevel returns the recorded level of the deployment.
 func (c *Cluster) FeatureLevel() FeatureLevel {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,14 +60,14 @@
 		return
 	}
 	if record.Level > c.features.level {
-		c.opts.Log.Info("feature level", "level", record.Level)
+		c.opts.Log.Info("feature level raised", "level", record.Level)
 	}
 	c.features = features{level: max(c.features.level, record.Level), version: version}
 }
 
 // commonLevelLocked returns the highest level that all controllers are known to
-// support. One that has not been heard from since this controller started may be
-// of any version.
+// support. It is LevelNone while a peer has not reported its level since this
+// controller started, because that peer may run any version.
 func (c *Cluster) commonLevelLocked() FeatureLevel {
 	common := supportedLevel
 	for _, p := range c.peers {
@@ -76,8 +76,8 @@
 	return common
 }
 
-// recordFeatureLevel records the level that all controllers support, if it is higher than
-// the recorded one. Only the leader calls it.
+// recordFeatureLevel writes the level that all controllers support to the store if it
+// is higher than the recorded one. Only the leader calls it.
 func (c *Cluster) recordFeatureLevel(ctx context.Context) {
 	c.mu.Lock()
 	recorded, common := c.features, c.commonLevelLocked()
@@ -94,8 +94,8 @@
 		Then: []wire.Change{{Put: featuresKey, Value: value}},
 	})
 	if err != nil {
-		c.opts.Log.Info("recording the feature level failed", "level", common, "err", err)
-		return // the watch brings what is recorded, and the next round tries again
+		c.opts.Log.Info("failed to record the feature level", "level", common, "err", err)
+		return // the watch reports the recorded level, and the next election round retries
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/fencing.go
+++ b/internal/cluster/fencing.go
@@ -2,31 +2,33 @@
 
 import "time"
 
-// maxFenceRecords bounds the proofs that are kept, so that a machine taken under
-// an older epoch keeps its earlier date.
+// maxFenceRecords is the number of fence records that are kept. Records of older
+// epochs are kept because a machine that was adopted under an older epoch was
+// fenced at an earlier time.
 const maxFenceRecords = 64
 
-// clockDrift bounds how far the clocks of two machines drift apart within d: twice
-// the 0.05% that is to be expected.
+// clockDrift returns an upper bound of how far the clocks of two machines diverge
+// within d. It is 0.1%, twice the expected 0.05%.
 func clockDrift(d time.Duration) time.Duration { return d / 1000 }
 
-// fence collects, for the current epoch, the acknowledgements that show that no
-// controller answers heartbeats under an older one.
+// fence collects the acknowledgements of the current epoch by peers. Together they
+// prove that no controller answers heartbeats under an older epoch.
 type fence struct {
 	acked      map[string]bool // peers that know this epoch
-	majorityAt time.Time       // when a majority knew it, this controller included
-	allAt      time.Time       // when all knew it
+	majorityAt time.Time       // when a majority, including this controller, was first known to have it
+	allAt      time.Time       // when all controllers were first known to have it
 }
 
-// fenceRecord says that from at on, no controller answers heartbeats under an
-// epoch older than token.
+// fenceRecord states that from the time at onwards, no controller answers heartbeats
+// under an epoch older than token.
 type fenceRecord struct {
 	token uint64
 	at    time.Time
 }
 
-// FencedSince returns since when surely no controller has answered a worker under
-// an epoch older than token, if that is proven. See docs/design.md, "Fencing".
+// FencedSince returns a time from which it is proven that no controller answers
+// workers under an epoch older than token; ok is false if there is no proof yet.
+// See docs/design.md, "Fencing".
 func (c *Cluster) FencedSince(token uint64) (since time.Time, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,8 +41,9 @@
 	return time.Time{}, false
 }
 
-// recordAckLocked counts a peer that knows the current epoch: it will neither
-// answer workers under an older one nor confirm one.
+// recordAckLocked records the acknowledgement of a peer that knows the current
+// epoch. Such a peer neither answers workers under an older epoch nor confirms an
+// older epoch to other controllers.
 func (c *Cluster) recordAckLocked(p *peer) {
 	if !c.isMemberLocked() || p.token < c.epoch.Token {
 		return
@@ -52,8 +55,8 @@
 	c.recordFenceLocked()
 }
 
-// recordFenceLocked records the proof for the current epoch once it is complete.
-// Proof for one epoch is proof for all older ones.
+// recordFenceLocked adds a fence record for the current epoch once the proof is
+// complete. A proof for one epoch also holds for all older epochs.
 func (c *Cluster) recordFenceLocked() {
 	if !c.isMemberLocked() || c.fenceProvenLocked() {
 		return
@@ -70,13 +73,13 @@
 	}
 }
 
-// fenceProvenLocked reports whether the proof for the current epoch is recorded.
+// fenceProvenLocked reports whether there is a fence record for the current epoch.
 func (c *Cluster) fenceProvenLocked() bool {
 	return len(c.fenceRecords) > 0 && c.fenceRecords[len(c.fenceRecords)-1].token >= c.epoch.Token
 }
 
-// recordAckTimesLocked notes when a majority and when all were first seen to know the
-// epoch.
+// recordAckTimesLocked records the times at which a majority and all of the
+// controllers were first known to have the current epoch.
 func (c *Cluster) recordAckTimesLocked(now time.Time) {
 	if c.fence.majorityAt.IsZero() && 2*(len(c.fence.acked)+1) > len(c.peers)+1 {
 		c.fence.majorityAt = now
@@ -86,9 +89,12 @@
 	}
 }
 
-// provenAt returns from when on no controller answers heartbeats under an older
-// epoch: once all know this one, or once the last confirmation has expired that a
-// majority can have given before it knew this one. Zero: not known yet.
+// provenAt returns the time from which no controller answers heartbeats under an
+// older epoch, or the zero time if that is not known yet. This is when all
+// controllers know the current epoch, or, if earlier, when the last confirmation of
+// an older epoch has expired. A majority can have given such a confirmation only
+// before it knew the current epoch, so it expires one confirmation TTL, plus clock
+// drift, after that.
 func (f *fence) provenAt(confirmationTTL time.Duration) time.Time {
 	if f.majorityAt.IsZero() {
 		return f.allAt
