--- a/internal/ownership/doc.go
+++ b/internal/ownership/doc.go
@@ -1,8 +1,8 @@
-// Package ownership keeps what a scheduler knows of machines that change
-// owner: those that it is handing over to another controller, and released
-// ones that are still to be announced to the other controllers. It does no I/O: the
-// scheduler writes the transfers.
+// Package ownership tracks a scheduler's machines whose ownership is changing: those
+// that are being handed over to another controller, and released ones that must still
+// be announced to the other controllers. It does no I/O: the scheduler writes the
+// transfers to the key-value store.
 //
-// Nothing in it is safe for concurrent use: the lock of the scheduler that owns
-// the machines guards it.
+// Nothing in this package is safe for concurrent use: the lock of the scheduler that
+// owns the machines guards it.
 package ownership
--- a/internal/recovery/doc.go
+++ b/internal/recovery/doc.go
@@ -1,8 +1,8 @@
-// Package recovery reads back from the consensus-backed key-value store what
-// schedulers have recorded there: what may be on which machine, as package checkpoint
-// writes it, and which tasks are done, as package completion does. A scheduler
-// rebuilds its state from that when it gains jobs or machines.
+// Package recovery reads the records of schedulers from the consensus-backed key-value
+// store: which attempts may be on which machine, as written by package checkpoint, and
+// which tasks are done, as written by package completion. A scheduler rebuilds its state
+// from these records when it gains jobs or machines.
 //
-// Nothing here has state or holds a lock, so that the reads of a large store keep
-// nobody waiting.
+// The package keeps no state and holds no locks, so that reading a large store does not
+// block other goroutines.
 package recovery
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -12,39 +12,41 @@
 	"heronwick/wire"
 )
 
-// Store reads the machines' records from the key-value store.
+// Store is the part of the key-value store's client that Read uses.
 type Store interface {
 	List(ctx context.Context, priority state.Priority, prefix string) (state.Listing, error)
 }
 
-// Jobs knows which jobs are active, which are over, and which of their tasks are done.
+// Jobs provides the records of active jobs, the outcomes of jobs that are over, and the
+// tasks that are done.
 type Jobs interface {
 	Active(id string) *job.Record
 	Resolve(ctx context.Context, id string) (job.Resolution, error)
 	ReadDone(ctx context.Context) ([]job.DoneBucket, error)
 }
 
-// Records is what the store holds of machines and done tasks.
+// Records holds the records of machines and done tasks, as read from the store.
 type Records struct {
 	Buckets []Bucket
 	Done    []job.DoneBucket
-	// Outcomes are those of the jobs that are over, and of which a bucket names tasks.
+	// Outcomes holds the outcomes of those jobs that are over although a bucket still
+	// contains attempts of their tasks.
 	Outcomes map[string]job.Outcome
 }
 
-// Bucket is a key with machines' records, as read.
+// Bucket is a key whose value holds machine records, as read from the store.
 type Bucket struct {
 	fleet.RecordBucket
 	Key     string
 	Version uint64
-	Size    int // bytes of its value
+	Size    int // size of the value in bytes
 }
 
-// maxResolving is how many jobs are looked up at once.
-const maxResolving = 8
+// maxConcurrentLookups limits how many jobs are looked up concurrently.
+const maxConcurrentLookups = 8
 
-// Read reads all records. Of a task's attempts only the newest is kept, and every
-// job of which a bucket names tasks is either active or looked up.
+// Read reads all records. It keeps only the newest attempt of each task, and looks up all
+// jobs that have attempts in a bucket but are not active.
 func Read(ctx context.Context, store Store, jobs Jobs) (Records, error) {
 	buckets, err := readBuckets(ctx, store)
 	if err != nil {
@@ -62,7 +64,7 @@
 	return Records{Buckets: buckets, Done: done, Outcomes: outcomes}, nil
 }
 
-// readBuckets lists the buckets of machines' records.
+// readBuckets reads the buckets of machine records.
 func readBuckets(ctx context.Context, store Store) ([]Bucket, error) {
 	listing, err := store.List(ctx, state.Urgent, fleet.RecordPrefix)
 	if err != nil {
@@ -79,9 +81,9 @@
 	return buckets, nil
 }
 
-// dropOutdatedAttempts removes the attempts of tasks that have a newer one. That was
-// recorded only once the older one had surely gone, but a bucket that was not
-// written since still names it.
+// dropOutdatedAttempts removes all attempts of a task but the newest. A new attempt is
+// recorded only after the older one can no longer be running, but a bucket that has not
+// been written since still contains the older one.
 func dropOutdatedAttempts(buckets []Bucket) {
 	newest := map[string]uint64{}
 	for _, bucket := range buckets {
@@ -102,7 +104,7 @@
 	}
 }
 
-// inactiveJobs returns the jobs whose tasks the buckets name and that are not active.
+// inactiveJobs returns the jobs that have attempts in the buckets but are not active.
 func inactiveJobs(buckets []Bucket, jobs Jobs) map[string]bool {
 	inactive := map[string]bool{}
 	for _, bucket := range buckets {
@@ -117,12 +119,12 @@
 	return inactive
 }
 
-// resolve looks up jobs and returns the outcomes of those that are over.
+// resolve looks up the jobs and returns the outcomes of those that are over.
 func resolve(ctx context.Context, jobs Jobs, ids map[string]bool) (map[string]job.Outcome, error) {
 	var mu sync.Mutex
 	outcomes := map[string]job.Outcome{}
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(maxResolving)
+	g.SetLimit(maxConcurrentLookups)
 	for id := range ids {
 		g.Go(func() error {
 			resolution, err := jobs.Resolve(ctx, id)
--- a/internal/remote/doc.go
+++ b/internal/remote/doc.go
@@ -1,13 +1,13 @@
-// Package remote holds what controllers know of attempts that one has placed
-// on the machines of another.
+// Package remote holds the state that controllers keep for remote attempts, which
+// are attempts of one controller's jobs on the machines of another controller.
 //
-// A task that finds no room on its controller's machines may go to those of
-// another: the job's owner sends a placement request, the host places the task
-// on its own machines. The owner decides on further attempts and records what
-// is done; the host records what may be on its machines and commands their
-// workers. The owner settles its remote attempts by asking their hosts what
-// became of them.
+// A task that does not fit on its controller's machines may run on those of another
+// controller: the job's owner sends a placement request, and the host places the
+// task on its own machines. The owner decides on further attempts and records which
+// tasks are done; the host records which attempts may be on its machines and sends
+// commands to their workers. The owner settles its remote attempts by asking their
+// hosts for the attempts' status.
 //
-// The types are not safe for concurrent use unless they say so: the lock of
+// The types are not safe for concurrent use unless documented otherwise: the lock of
 // the scheduler that owns them guards them.
 package remote
--- a/internal/remote/throttle.go
+++ b/internal/remote/throttle.go
@@ -3,40 +3,45 @@
 import "time"
 
 const (
-	// RetryAfter is how soon a peer without room gets another placement request.
+	// RetryAfter is the delay before the next placement request to a peer that had no
+	// room.
 	RetryAfter = 400 * time.Millisecond
-	// retryUrgentAfter is how soon it gets one for what is urgent.
+	// retryUrgentAfter is the delay before the next urgent placement request to a peer
+	// that had no room or did not reply.
 	retryUrgentAfter = 100 * time.Millisecond
-	// retryFailedAfter is how soon a peer that did not answer gets another.
+	// retryFailedAfter is the delay before the next placement request to a peer that did
+	// not reply.
 	retryFailedAfter = time.Second
-	// retryProgressAfter is how soon a peer that had or makes room gets another.
+	// retryProgressAfter is the delay before the next placement request to a peer that
+	// had or is making room.
 	retryProgressAfter = 50 * time.Millisecond
 )
 
-// Outcome is how a peer answered a placement request.
+// Outcome is the result of a placement request to a peer.
 type Outcome int
 
 const (
-	// NoRoom means that the peer took nothing.
+	// NoRoom means that the peer accepted no task.
 	NoRoom Outcome = iota
-	// Failed means that there was no answer.
+	// Failed means that the peer did not reply.
 	Failed
-	// Progress means that the peer took tasks, hands over machines or makes room.
+	// Progress means that the peer accepted tasks, is handing over machines or is making
+	// room.
 	Progress
 )
 
-// Throttle allows one placement request at a time to each peer, and keeps them
-// apart by how the last one was answered. The zero value is ready to use.
+// Throttle limits the placement requests to each peer to one at a time, with a delay
+// between them that depends on the last outcome. The zero value is ready to use.
 type Throttle struct{ peers map[string]*peerState }
 
-// peerState is when one peer may get the next placement request.
+// peerState holds when the next placement request may be sent to one peer.
 type peerState struct {
-	inFlight   bool
-	next       time.Time // not before then
-	nextUrgent time.Time // not before then for what is urgent
+	inFlight        bool
+	notBefore       time.Time // earliest time of the next request, unless it is urgent
+	urgentNotBefore time.Time // earliest time of the next request, urgent or not
 }
 
-// peer returns the state of a peer, which it adds if need be.
+// peer returns the state of a peer, adding it if it is missing.
 func (t *Throttle) peer(node string) *peerState {
 	if t.peers == nil {
 		t.peers = map[string]*peerState{}
@@ -49,25 +54,26 @@
 	return p
 }
 
-// Allows reports whether a peer may get a placement request now.
+// Allows reports whether a placement request may be sent to the peer now. urgent is
+// whether the request is for urgent tasks, for which the delays are shorter.
 func (t *Throttle) Allows(node string, urgent bool, now time.Time) bool {
 	p := t.peer(node)
-	return !p.inFlight && (urgent || !now.Before(p.next)) && !now.Before(p.nextUrgent)
+	return !p.inFlight && (urgent || !now.Before(p.notBefore)) && !now.Before(p.urgentNotBefore)
 }
 
-// Begin notes that a request goes out to a peer.
+// Begin records that a request is being sent to the peer.
 func (t *Throttle) Begin(node string) { t.peer(node).inFlight = true }
 
-// End notes how the request to a peer ended.
+// End records the outcome of the request to the peer.
 func (t *Throttle) End(node string, outcome Outcome, now time.Time) {
 	p := t.peer(node)
 	p.inFlight = false
 	switch outcome {
 	case NoRoom:
-		p.next, p.nextUrgent = now.Add(RetryAfter), now.Add(retryUrgentAfter)
+		p.notBefore, p.urgentNotBefore = now.Add(RetryAfter), now.Add(retryUrgentAfter)
 	case Failed:
-		p.next, p.nextUrgent = now.Add(retryFailedAfter), now.Add(retryUrgentAfter)
+		p.notBefore, p.urgentNotBefore = now.Add(retryFailedAfter), now.Add(retryUrgentAfter)
 	case Progress:
-		p.next, p.nextUrgent = now.Add(retryProgressAfter), now
+		p.notBefore, p.urgentNotBefore = now.Add(retryProgressAfter), now
 	}
 }
