--- a/internal/detector/assessment.go
+++ b/internal/detector/assessment.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Assessment is one look at all workers of the scheduler: each of them is judged
-// against it, while the scheduler holds its lock.
+// Assessment is a snapshot of all workers of the scheduler, against which each single
+// worker is assessed. It is valid while the scheduler holds its lock.
 type Assessment struct {
-	// Reachable is how many workers have not failed to answer.
+	// Reachable is the number of workers that do not count as unresponsive.
 	Reachable int
 
 	detector *Detector
@@ -16,22 +16,23 @@
 	count    int
 	now      time.Time
 	busy     bool
-	// partitioned: it is rather this controller that is cut off from its workers.
+	// partitioned reports that this controller is likely partitioned from its workers.
 	partitioned bool
-	// fewUnreachable and fewHeartbeatsMissing: so few workers are that each is
-	// judged by itself.
-	fewUnreachable, fewHeartbeatsMissing bool
-	index                                *heartbeatIndex // made when first needed
+	// unreachableIsMinority and heartbeatsMissingIsMinority report that the workers in the
+	// respective state are few enough to attribute it to each of them rather than to this
+	// controller.
+	unreachableIsMinority, heartbeatsMissingIsMinority bool
+	index                                              *heartbeatIndex // built when first needed
 }
 
-// Assess looks at all workers of the scheduler as of now. busy is what Busy says,
-// by a clock that may have gone on since now was read.
+// Assess returns an assessment of all workers of the scheduler at the time now. busy is
+// the result of Busy, which the caller may have evaluated at a later time than now.
 func (d *Detector) Assess(workers iter.Seq[*Worker], now time.Time, busy bool) *Assessment {
 	a := &Assessment{detector: d, workers: workers, now: now, busy: busy}
 	unresponsive, unreachable, heartbeatsMissing := 0, 0, 0
 	for w := range workers {
 		a.count++
-		if w.failedProbes >= missedProbes {
+		if w.failedProbes >= unresponsiveProbeThreshold {
 			unresponsive++
 		}
 		if !w.unreachableSince.IsZero() {
@@ -41,52 +42,57 @@
 			heartbeatsMissing++
 		}
 	}
-	// Many at once: rather this controller is cut off than all of them dead, or
-	// it is so busy that it does not hear them, and the next leader would be too.
-	a.partitioned = !a.few(unresponsive) && !busy
+	// If many workers are unresponsive at once, this controller is more likely
+	// partitioned from them than all of them are dead. If it is busy, it is more likely
+	// too slow to process their messages, and the next leader would be as slow; so that
+	// does not count as a partition.
+	a.partitioned = !a.isMinority(unresponsive) && !busy
 	a.Reachable = a.count - unresponsive
-	a.fewUnreachable, a.fewHeartbeatsMissing = a.few(unreachable), a.few(heartbeatsMissing)
+	a.unreachableIsMinority, a.heartbeatsMissingIsMinority = a.isMinority(unreachable), a.isMinority(heartbeatsMissing)
 	d.partitioned = a.partitioned
 	return a
 }
 
-// few reports whether so few of the workers have something that it is theirs
-// rather than this controller's.
-func (a *Assessment) few(count int) bool { return count <= max(2, a.count/3) }
+// isMinority reports whether count workers are few enough to attribute a symptom that
+// they share to the workers rather than to this controller.
+func (a *Assessment) isMinority(count int) bool { return count <= max(2, a.count/3) }
 
-// Dead reports whether a worker that neither sends heartbeats nor answers probes
-// counts as lost.
+// Dead reports whether a worker counts as dead. Such a worker sends no heartbeats and
+// answers no probes, and a partition is not the likely cause.
 func (a *Assessment) Dead(w *Worker) bool {
-	return a.detector.unresponsive(w, a.now) && a.judgedByItself(w) && a.failedAlone(w)
+	return a.detector.exceedsDeadThresholds(w, a.now) && a.mayJudgeSilence(w) && a.failedIndividually(w)
 }
 
-// judgedByItself reports whether a silent worker may be judged by itself. While this
-// controller is rather cut off from many, their machines are kept for as long as new
-// ones would take to serve.
-func (a *Assessment) judgedByItself(w *Worker) bool {
+// mayJudgeSilence reports whether the silence of a worker may be taken for its failure.
+// While this controller is likely partitioned from many workers, their machines are kept
+// for as long as replacements would take to become ready.
+func (a *Assessment) mayJudgeSilence(w *Worker) bool {
 	return !a.partitioned || w.silence(a.now) > a.detector.partitionTimeout(w)
 }
 
-// failedAlone reports whether most other workers that were probed or have sent a
-// heartbeat since this one began to fail have been heard. A controller that loses
-// all its workers would otherwise return them one after the other. Where most of a
-// zone is silent and the others are not, the zone is partitioned off: its machines
-// are as they were when that ends, their images included, so they are kept for as
-// long as new ones would take to serve.
-func (a *Assessment) failedAlone(w *Worker) bool {
+// failedIndividually reports whether the failure of a worker is its own and not part of
+// a larger one. Most of the other workers that were probed or sent a heartbeat since this
+// worker began to fail must have been heard from: otherwise, a controller that loses all
+// its workers would return their machines one by one.
+//
+// If most workers of the zone are silent and those of other zones are not, the zone is
+// partitioned. Its machines will be unchanged after the partition, with their cached
+// images, so they are kept for as long as replacements would take to become ready. This
+// does not apply to machines with service replicas.
+func (a *Assessment) failedIndividually(w *Worker) bool {
 	index := a.heartbeatIndex()
-	allHeard, allFailed := index.all.since(w.failingSince)
-	allFailed-- // itself
+	allHeard, allFailed := index.all.countSince(w.failingSince)
+	allFailed-- // not counting the worker itself
 	if allHeard < min(a.count/2, 2*SampleSize) || allHeard < allFailed {
 		return false
 	}
-	heard, failed := index.zones[w.Zone].since(w.failingSince)
+	heard, failed := index.zones[w.Zone].countSince(w.failingSince)
 	failed--
 	zonePartitioned := failed > heard && allHeard-heard > allFailed-failed
-	return !zonePartitioned || w.serves() || w.silence(a.now) > a.detector.partitionTimeout(w)
+	return !zonePartitioned || w.hasServiceReplicas() || w.silence(a.now) > a.detector.partitionTimeout(w)
 }
 
-// heartbeatIndex returns the index of the workers' heartbeats, made when first needed.
+// heartbeatIndex returns the index of the workers' heartbeats, building it on first use.
 func (a *Assessment) heartbeatIndex() *heartbeatIndex {
 	if a.index == nil {
 		a.index = newHeartbeatIndex(a.workers)
@@ -94,20 +100,22 @@
 	return a.index
 }
 
-// Unreachable reports whether a worker whose heartbeats arrive is lost since nothing
-// reaches it, while few others are like it.
+// Unreachable reports whether a worker counts as lost because it does not answer direct
+// requests although its heartbeats arrive. It is false if this controller is busy or if
+// many workers are in that state, since the cause is then more likely this controller.
 func (a *Assessment) Unreachable(w *Worker) bool {
-	return a.fewUnreachable && !a.busy && a.detector.unreachable(w, a.now)
+	return a.unreachableIsMinority && !a.busy && a.detector.unreachable(w, a.now)
 }
 
-// HeartbeatsMissing reports whether a worker that answers reaches no controller, while
-// few others are like it.
+// HeartbeatsMissing reports whether the heartbeats of a worker are missing although it
+// answers direct requests, see Detector.HeartbeatsMissing. It is false if many workers
+// are in that state.
 func (a *Assessment) HeartbeatsMissing(w *Worker) bool {
-	return a.fewHeartbeatsMissing && a.detector.HeartbeatsMissing(w, a.now)
+	return a.heartbeatsMissingIsMinority && a.detector.HeartbeatsMissing(w, a.now)
 }
 
-// HeartbeatsMissingPersistently reports whether it has been so for so long that another
-// machine is worth its price.
+// HeartbeatsMissingPersistently reports whether HeartbeatsMissing has been true for so
+// long that replacing the machine is worth its price.
 func (a *Assessment) HeartbeatsMissingPersistently(w *Worker) bool {
-	return a.fewHeartbeatsMissing && a.detector.heartbeatsMissingPersistently(w, a.now)
+	return a.heartbeatsMissingIsMinority && a.detector.heartbeatsMissingPersistently(w, a.now)
 }
--- a/internal/detector/doc.go
+++ b/internal/detector/doc.go
@@ -1,20 +1,20 @@
-// Package detector is the failure detector of a scheduler's workers. From the
-// heartbeats that come, the answers to probes and the readings of the clock it
-// judges
+// Package detector is the failure detector for a scheduler's workers. From the
+// heartbeats received, the answers to probes, and the time, it determines
 //
 //   - which workers are suspected of having failed, and when to probe them;
-//   - which of those are dead, so that their machines are to be returned, and
-//     which are rather on the other side of a network partition: one of their
-//     zone, or one of this controller;
+//   - which of those are dead, so that their machines should be returned, and which
+//     are more likely behind a network partition, either of their zone or of this
+//     controller;
 //   - which workers are reachable in one direction only: those whose heartbeats
-//     arrive though nothing that is sent to them is answered, and those that
-//     answer but whose heartbeats do not arrive;
-//   - when a worker's lease has surely expired, so that its tasks are gone.
+//     arrive although they do not answer direct requests, and those that answer
+//     although their heartbeats do not arrive;
+//   - when a worker's lease has certainly expired, so that its tasks are no longer
+//     running.
 //
-// A controller that is itself short of processor time does not take a missing
-// answer for a worker's failure.
+// A controller that is itself short of processor time does not treat a missing answer
+// as a failure of the worker.
 //
-// The package only judges: sending the probes, and acting on what holds, is the
-// scheduler's part. Nothing here is safe for concurrent use: the lock of the
-// scheduler guards it.
+// The package sends no probes and takes no action on its findings; the scheduler does
+// both. Nothing in this package is safe for concurrent use: the scheduler's lock guards
+// it.
 package detector
--- a/internal/detector/heartbeatindex.go
+++ b/internal/detector/heartbeatindex.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// heartbeatIndex tells how many workers have sent a heartbeat since a given
-// time, and of those that fail to answer probes, how many have not. It is made
-// once for all machines that may be dead: hundreds can fail at once.
+// heartbeatIndex answers how many workers have been heard from since a given time, and
+// how many of the workers with failed probes have not. It is built once per assessment and
+// used for all workers that may be dead, since hundreds can fail at once.
 type heartbeatIndex struct {
 	all   heartbeatTimes
 	zones map[string]*heartbeatTimes
@@ -34,13 +34,13 @@
 	return index
 }
 
-// heartbeatTimes are the times of the workers' last heartbeats, sorted: of all
-// workers, and of those that fail to answer probes.
+// heartbeatTimes holds the sorted times of the last heartbeats: of all workers, and of
+// the workers with failed probes.
 type heartbeatTimes struct {
 	last, failing []time.Time
 }
 
-// add adds a worker; sort must follow the last.
+// add adds a worker. sort must be called after the last add and before countSince.
 func (h *heartbeatTimes) add(w *Worker) {
 	h.last = append(h.last, w.LastHeartbeat)
 	if w.failedProbes > 0 {
@@ -48,15 +48,15 @@
 	}
 }
 
-// sort puts the times in order, for since.
+// sort sorts the times, as countSince requires.
 func (h *heartbeatTimes) sort() {
 	slices.SortFunc(h.last, time.Time.Compare)
 	slices.SortFunc(h.failing, time.Time.Compare)
 }
 
-// since tells how many were heard after t, and how many of those that fail
-// were not.
-func (h *heartbeatTimes) since(t time.Time) (heard, failed int) {
+// countSince returns how many workers have been heard from after t, and how many of the
+// workers with failed probes have not.
+func (h *heartbeatTimes) countSince(t time.Time) (heard, failed int) {
 	after := func(times []time.Time) int {
 		return sort.Search(len(times), func(i int) bool { return times[i].After(t) })
 	}
--- a/internal/detector/worker.go
+++ b/internal/detector/worker.go
@@ -7,77 +7,78 @@
 	"heronwick/wire"
 )
 
-// Worker is a machine with what its worker has answered, and left unanswered.
+// Worker is a machine with the history of its worker's heartbeats and answers.
 type Worker struct {
 	*fleet.Machine
 
-	// LastUnsolicited is when the last heartbeat came by itself, and not as the
-	// answer to a probe or a command.
+	// LastUnsolicited is when the last unsolicited heartbeat arrived, which is one that
+	// did not answer a probe or a command.
 	LastUnsolicited    time.Time
 	lastUnsolicitedSeq uint64
 
-	requestPending   bool      // a probe, or the command that shows a new token, is under way
+	requestPending   bool      // a probe, or a command that carries a new fencing token, is in flight
 	lastProbe        time.Time // when the last probe was sent
-	failedProbes     int       // since the last sign of life
-	failingSince     time.Time // when the first of them was sent
-	unreachableSince time.Time // since when no direct request was answered; zero: the last one was
-	unansweredProbes int       // since the last direct request that was answered
+	failedProbes     int       // number of failed probes since the last news of the worker
+	failingSince     time.Time // when the first of failedProbes was sent
+	unreachableSince time.Time // when direct requests began to fail; zero if the last one was answered
+	unansweredProbes int       // number of failed probes since a direct request was last answered
 }
 
-// NewWorker returns the worker of a machine that the scheduler owns from now on.
-// It counts as heard now.
+// NewWorker returns the worker of a machine that the scheduler has started to own. The
+// worker counts as heard from now.
 func NewWorker(m *fleet.Machine, now time.Time) Worker {
 	m.LastHeartbeat = now
 	return Worker{Machine: m, LastUnsolicited: now}
 }
 
-// NoteUnsolicited notes that a heartbeat has come by itself; fresh reports whether
-// it is newer than all that is known of the worker. On a slow link a heartbeat that
-// the answer to a later probe has overtaken is no news, but it did come: a worker
-// of which none counts would be taken for one that reaches no controller. A copy of
-// one that has come before does not count.
+// NoteUnsolicited records that an unsolicited heartbeat has arrived. fresh is whether it
+// is newer than everything known about the worker. On a slow link, the answer to a later
+// probe can overtake a heartbeat. Such a heartbeat brings no news but still counts, as
+// long as it is not a duplicate: otherwise the worker would be taken for one whose
+// heartbeats reach no controller.
 func (w *Worker) NoteUnsolicited(heartbeat *wire.Heartbeat, fresh bool, now time.Time) {
 	if fresh || heartbeat.Incarnation == w.Incarnation && heartbeat.Seq > w.lastUnsolicitedSeq {
 		w.LastUnsolicited, w.lastUnsolicitedSeq = now, heartbeat.Seq
 	}
 }
 
-// NoteAlive notes a sign of life: fresh news of the worker, on whichever way it came.
+// NoteAlive records that news of the worker has arrived, by a heartbeat or an answer.
 func (w *Worker) NoteAlive() { w.failedProbes = 0 }
 
-// NoteReachable notes that a direct request was answered.
+// NoteReachable records that a direct request was answered.
 func (w *Worker) NoteReachable() { w.unreachableSince, w.unansweredProbes = time.Time{}, 0 }
 
-// NoteUnreachable notes that a direct request was not answered. Heartbeats that
-// arrive are no proof that anything reaches the worker.
+// NoteUnreachable records that a direct request was not answered. Arriving heartbeats do
+// not clear this state, since they do not prove that requests reach the worker.
 func (w *Worker) NoteUnreachable(now time.Time) {
 	if w.unreachableSince.IsZero() {
 		w.unreachableSince = now
 	}
 }
 
-// Responsive reports whether no probe has failed since the last sign of life, and the
-// last direct request was answered.
+// Responsive reports whether no probe has failed since the last news of the worker, and
+// the last direct request was answered.
 func (w *Worker) Responsive() bool { return w.failedProbes == 0 && w.unreachableSince.IsZero() }
 
-// BeginRequest notes that a direct request whose answer tells how the worker is goes
-// out: others would be in vain until EndRequest.
+// BeginRequest records that a direct request is being sent whose answer will show whether
+// the worker responds. Until EndRequest, further requests for that purpose are redundant.
 func (w *Worker) BeginRequest() { w.requestPending = true }
 
-// EndRequest notes that the answer has come, or will not come.
+// EndRequest records that the request was answered or has failed.
 func (w *Worker) EndRequest() { w.requestPending = false }
 
-// RequestPending reports whether a request is between BeginRequest and EndRequest.
+// RequestPending reports whether EndRequest has not yet been called after BeginRequest.
 func (w *Worker) RequestPending() bool { return w.requestPending }
 
-// BeginProbe begins a request that is a probe.
+// BeginProbe records that a probe is being sent. EndRequest must follow as for other
+// requests.
 func (w *Worker) BeginProbe(now time.Time) {
 	w.BeginRequest()
 	w.lastProbe = now
 }
 
-// ProbeFailed notes that the probe that was sent at a time was not answered. It
-// reports whether it is the first since the last sign of life.
+// ProbeFailed records that the probe sent at the given time was not answered. It reports
+// whether it is the first failed probe since the last news of the worker.
 func (w *Worker) ProbeFailed(sent time.Time) (first bool) {
 	w.failedProbes++
 	w.unansweredProbes++
@@ -87,24 +88,25 @@
 	return first
 }
 
-// ProbeImpossible notes that no probe can be sent, since the worker's address is
-// unknown: that is no sign of life either.
+// ProbeImpossible records that no probe can be sent because the worker's address is
+// unknown. It counts as a failed probe.
 func (w *Worker) ProbeImpossible(now time.Time) {
 	w.failedProbes++
 	w.lastProbe = now
 }
 
-// ProbedRecently reports whether another probe now would be in vain: one is under way,
-// or went out a moment ago.
+// ProbedRecently reports whether another probe would be redundant now: a request is in
+// flight, or the last probe was sent within ProbeTimeout.
 func (w *Worker) ProbedRecently(now time.Time) bool {
 	return w.requestPending || now.Sub(w.lastProbe) <= ProbeTimeout
 }
 
-// silence is for how long nothing has come from the worker.
+// silence returns how long ago the last heartbeat of the worker arrived, unsolicited or
+// not.
 func (w *Worker) silence(now time.Time) time.Duration { return now.Sub(w.LastHeartbeat) }
 
-// serves reports whether replicas of services may be on the machine.
-func (w *Worker) serves() bool {
+// hasServiceReplicas reports whether service replicas may be running on the machine.
+func (w *Worker) hasServiceReplicas() bool {
 	for _, a := range w.Attempts.All() {
 		if a.Service && !a.Exited() {
 			return true
