--- a/internal/completion/flush.go
+++ b/internal/completion/flush.go
@@ -12,55 +12,57 @@
 	"heronwick/wire"
 )
 
-// Done tasks are written often enough that a lost machine takes few results with
-// it, and seldom enough that the ends of many tasks are one change: every
-// minFlushInterval where the store allows flushWriteRPS changes a second, less
-// often where it allows fewer, but at least every MaxFlushInterval.
+// The flush interval is a compromise: short enough that few results are lost with a
+// machine, and long enough that one change records the completion of many tasks. It is
+// minFlushInterval if the store allows flushWriteRPS changes per second or more. It is
+// longer if the store allows fewer, up to MaxFlushInterval.
 const (
 	minFlushInterval = 2 * time.Second
-	// MaxFlushInterval is the longest time between two writes of done tasks.
+	// MaxFlushInterval is the maximum time between two flushes.
 	MaxFlushInterval = 6 * time.Second
 	flushWriteRPS    = 60
 )
 
-// flushPriority is that of writing done tasks. They are few changes for many tasks,
-// and a takeover runs again what they do not name: as what nobody waits for, behind
-// submissions in a burst, they were a minute late.
+// flushPriority is the priority of writing done tasks. These are few changes for many
+// tasks, and after a takeover all tasks that are not recorded as done run again. With
+// the priority Background they waited behind bursts of submissions and were a minute
+// late.
 const flushPriority = state.Safety
 
-// flushInterval is how often done tasks are written.
+// flushInterval returns the time between two flushes.
 func (t *Table) flushInterval() time.Duration {
-	slower := flushWriteRPS / max(t.settings.StateWriteRate, 1)
-	return min(max(minFlushInterval, time.Duration(slower*float64(minFlushInterval))), MaxFlushInterval)
+	slowdown := flushWriteRPS / max(t.settings.StateWriteRate, 1)
+	return min(max(minFlushInterval, time.Duration(slowdown*float64(minFlushInterval))), MaxFlushInterval)
 }
 
-// bucketWrite is one write of a bucket.
+// bucketWrite is a write of one bucket.
 type bucketWrite struct {
 	bucket  *bucket
 	request state.Write
 	blocks  []writtenBlock
 }
 
-// writtenBlock is a block of a job that a write contains for the first time.
+// writtenBlock is a block of a job's bitmap with changes that are contained in a write
+// for the first time.
 type writtenBlock struct {
 	job      *Job
 	block    int
-	attempts []*fleet.Attempt // that are handled once it is written
+	attempts []*fleet.Attempt // attempts to mark as Handled once the block is written
 }
 
-// FlushDue reports whether done tasks are to be written again.
-func (t *Table) FlushDue(now time.Time) bool { return now.Sub(t.flushed) >= t.flushInterval() }
+// FlushDue reports whether the flush interval has passed since the last flush.
+func (t *Table) FlushDue(now time.Time) bool { return now.Sub(t.lastFlush) >= t.flushInterval() }
 
-// Flush starts to write the done tasks of jobs, and what else is due of the
-// buckets, as work of the scheduler.
+// Flush starts to write the done tasks of jobs, and the buckets that must be written
+// or removed for other reasons. The writes run in goroutines of the scheduler.
 func (t *Table) Flush(now time.Time, jobs iter.Seq[*Job]) {
-	t.flushed = now
+	t.lastFlush = now
 	due := map[*bucket]*bucketWrite{}
 	for j := range jobs {
-		t.gather(j, due)
+		t.collectDirty(j, due)
 	}
 	t.clearReplaced()
-	for _, b := range t.takeIdle() {
+	for _, b := range t.takePending() {
 		if due[b] == nil {
 			due[b] = &bucketWrite{bucket: b}
 		}
@@ -70,20 +72,20 @@
 	}
 }
 
-// gather puts the job's done tasks into buckets, and those buckets among the
-// ones to write. Blocks of a bucket whose write is under way wait for the next
+// collectDirty copies the changed blocks of the job's bitmap to their buckets, and adds
+// those buckets to due. Blocks of a bucket with a write in flight wait for the next
 // flush.
-func (t *Table) gather(j *Job, due map[*bucket]*bucketWrite) {
+func (t *Table) collectDirty(j *Job, due map[*bucket]*bucketWrite) {
 	for block := range j.dirty {
 		b := j.buckets[block]
 		if !t.contains(b) {
 			b = t.reserve(job.EntrySize(j.record.Job.Tasks, block))
 			j.buckets[block] = b
 		}
-		if b.committing {
+		if b.writeInFlight {
 			continue
 		}
-		b.put(j.record.Job.ID, block, j.Block(block))
+		b.setBlock(j.record.Job.ID, block, j.Block(block))
 		if due[b] == nil {
 			due[b] = &bucketWrite{bucket: b}
 		}
@@ -93,14 +95,14 @@
 	}
 }
 
-// startWrite writes a bucket, or removes one that is empty.
+// startWrite starts to write a bucket, or to remove it from the store if it is empty.
 func (t *Table) startWrite(write *bucketWrite) {
 	b := write.bucket
 	request := state.Write{Priority: flushPriority, RetryUntilAnswered: true, If: []wire.Condition{{Key: b.key, Version: b.version}}}
 	if b.empty() {
 		guard, err := t.scheduler.CleanupGuard()
 		if err != nil {
-			t.buckets[b.key] = b // removed later
+			t.buckets[b.key] = b // retry the removal at a later flush
 			return
 		}
 		request.Then = []wire.Change{{Delete: b.key}}
@@ -108,32 +110,32 @@
 	} else {
 		request.Then = []wire.Change{{Put: b.key, Value: t.encode(b)}}
 	}
-	b.committing = true
+	b.writeInFlight = true
 	write.request = t.scheduler.Fence().Bind(request)
 	t.scheduler.Go(func(ctx context.Context) { t.commit(ctx, write) })
 }
 
-// encode returns the value of a bucket.
+// encode returns the value to write for a bucket.
 func (t *Table) encode(b *bucket) json.RawMessage {
 	value, err := json.Marshal(job.DoneBucket{Jobs: b.jobs, Write: t.scheduler.UniqueWriteID()})
 	if err != nil {
-		t.log.Error("encoding done tasks", "key", b.key, "err", err)
+		t.log.Error("cannot encode a bucket of done tasks", "key", b.key, "err", err)
 	}
 	return value
 }
 
-// commit commits a write and takes its result. The scheduler's lock is not held
-// meanwhile.
+// commit commits a write and processes the result. It holds the scheduler's lock only
+// while it processes the result.
 func (t *Table) commit(ctx context.Context, write *bucketWrite) {
 	result, err := t.scheduler.Commit(ctx, write.bucket.key, write.request)
 	t.scheduler.Lock()
 	defer t.scheduler.Unlock()
-	write.bucket.committing = false
+	write.bucket.writeInFlight = false
 	if result.Known {
 		write.bucket.version = result.Version
 	}
 	if err != nil {
-		t.writeFailed(write, err)
+		t.handleWriteFailure(write, err)
 		return
 	}
 	for _, written := range write.blocks {
@@ -143,13 +145,14 @@
 	}
 }
 
-// writeFailed leaves what a failed write contained to the next flush.
-func (t *Table) writeFailed(write *bucketWrite, err error) {
+// handleWriteFailure marks the blocks of a failed write as dirty again, so that the
+// next flush retries them.
+func (t *Table) handleWriteFailure(write *bucketWrite, err error) {
 	b := write.bucket
 	if b.empty() && b.version > 0 && t.buckets[b.key] == nil {
-		t.buckets[b.key] = b // else it would stay in the store for ever
+		t.buckets[b.key] = b // otherwise the key would never be removed from the store
 	}
-	t.log.Debug("writing done tasks failed", "key", b.key, "err", err)
+	t.log.Debug("failed to write a bucket of done tasks; will retry", "key", b.key, "err", err)
 	t.scheduler.NoteRejected(err)
 	for _, failed := range write.blocks {
 		j := failed.job
--- a/internal/completion/scheduler.go
+++ b/internal/completion/scheduler.go
@@ -8,34 +8,33 @@
 	"heronwick/internal/state"
 )
 
-// Scheduler is what a Table needs of the scheduler that it belongs to. Its lock
-// is held during all calls but Lock and Commit.
+// Scheduler is the interface through which a Table uses the scheduler that it belongs
+// to. The caller holds the scheduler's lock, except when it calls Lock or Commit.
 type Scheduler interface {
 	// Locker guards the table and its jobs.
 	sync.Locker
-	// Go starts work that ends with the scheduler.
+	// Go runs work in a goroutine. Its context ends when the scheduler stops.
 	Go(work func(ctx context.Context))
-	// BucketKey names the scheduler's n-th bucket.
+	// BucketKey returns the key of the scheduler's n-th bucket.
 	BucketKey(n uint64) string
-	// ValueLimit is how many bytes of records a value may hold.
+	// ValueLimit returns the maximum size of a value with records, in bytes.
 	ValueLimit() int
 	// UniqueWriteID returns a string that no other write contains.
 	UniqueWriteID() string
-	// Fence is the condition under which records are written: the epoch that the
-	// scheduler acts under.
+	// Fence returns the condition for writing records: that the epoch under which the
+	// scheduler acts is still current.
 	Fence() state.FencingCondition
-	// CleanupGuard returns the right to remove the scheduler's records, an error if
-	// another controller has it or nobody.
+	// CleanupGuard returns the guard for removing the scheduler's records. It fails if
+	// this controller does not hold the duty of removing them.
 	CleanupGuard() (duty.Guard, error)
-	// Commit writes key to the store. The result counts also after an error.
+	// Commit writes key to the store. The result is valid even if there is an error.
 	Commit(ctx context.Context, key string, write state.Write) (CommitResult, error)
-	// NoteRejected lowers ValueLimit if err says that the store has rejected a
-	// value.
+	// NoteRejected lowers ValueLimit if err means that the store has rejected a value.
 	NoteRejected(err error)
 }
 
-// CommitResult is what is known of a key after a write to it.
+// CommitResult holds what is known of a key after a write to it.
 type CommitResult struct {
-	Version uint64 // of the key
-	Known   bool   // Version is certain
+	Version uint64 // version of the key, if Known
+	Known   bool
 }
--- a/internal/completion/table.go
+++ b/internal/completion/table.go
@@ -9,38 +9,38 @@
 	"heronwick/internal/job"
 )
 
-// Table is one scheduler's buckets of completion bitmaps: which there are,
-// what they hold, and where there is room.
+// Table holds the buckets of completion bitmaps of one scheduler and assigns bitmaps
+// to buckets with free space.
 //
-// A Table is not safe for concurrent use: the scheduler's lock guards it. A
-// task that ends changes the job's bitmap, its place in the queue and its
-// attempt's state, which must be seen to change together; a lock of the
-// table's own would only be taken inside the scheduler's.
+// A Table is not safe for concurrent use: the scheduler's lock guards it. When a task
+// ends, the job's bitmap, its position in the queue and the state of the attempt must
+// change atomically. A separate lock of the table would thus always be taken while
+// the scheduler's lock is held.
 type Table struct {
-	scheduler Scheduler
-	settings  *config.Settings
-	log       *slog.Logger
-	buckets   map[string]*bucket // by key
-	named     uint64             // buckets named so far
-	flushed   time.Time          // when buckets were last written
+	scheduler    Scheduler
+	settings     *config.Settings
+	log          *slog.Logger
+	buckets      map[string]*bucket // by key
+	bucketsNamed uint64             // number of bucket keys assigned so far
+	lastFlush    time.Time          // when buckets were last written
 }
 
-// NewTable returns a table without buckets that writes through scheduler.
+// NewTable returns a table without buckets. It writes them through scheduler.
 func NewTable(scheduler Scheduler, settings *config.Settings, log *slog.Logger) *Table {
 	return &Table{scheduler: scheduler, settings: settings, log: log, buckets: map[string]*bucket{}}
 }
 
-// sizeLimit is how many bytes the entries of a bucket may come to, unless
-// there is only one.
+// sizeLimit returns the maximum size of the entries of a bucket, in bytes. A bucket
+// with a single entry may exceed it.
 func (t *Table) sizeLimit() int { return t.scheduler.ValueLimit() * 3 / 4 }
 
-// contains reports whether the bucket is one of the table's.
+// contains reports whether the bucket is in the table.
 func (t *Table) contains(b *bucket) bool {
 	return b != nil && t.buckets[b.key] == b
 }
 
-// reserve returns a bucket with room for an entry of the size in bytes, and
-// takes the room.
+// reserve returns a bucket with space for an entry of the given size in bytes, and
+// reserves the space. It adds a bucket if none has enough.
 func (t *Table) reserve(size int) *bucket {
 	for _, b := range t.buckets {
 		if b.successors == nil && b.size+size <= t.sizeLimit() {
@@ -48,21 +48,22 @@
 			return b
 		}
 	}
-	b := t.add()
+	b := t.addBucket()
 	b.size = size
 	return b
 }
 
-// add adds an empty bucket.
-func (t *Table) add() *bucket {
-	t.named++
-	b := &bucket{key: t.scheduler.BucketKey(t.named), jobs: map[string]map[int][]byte{}}
+// addBucket adds an empty bucket.
+func (t *Table) addBucket() *bucket {
+	t.bucketsNamed++
+	b := &bucket{key: t.scheduler.BucketKey(t.bucketsNamed), jobs: map[string]map[int][]byte{}}
 	t.buckets[b.key] = b
 	return b
 }
 
-// RemoveJob drops the bitmaps of a job that is over. The keys are rewritten when
-// there is something else to write, or removed once empty.
+// RemoveJob removes the bitmaps of a job that has ended from the buckets. The keys in
+// the store are updated when the buckets are next written for another reason, or
+// removed once the buckets are empty.
 func (t *Table) RemoveJob(id string) {
 	for _, b := range t.buckets {
 		if _, ok := b.jobs[id]; !ok {
@@ -75,9 +76,9 @@
 	}
 }
 
-// TakeOver takes over a bucket whose owner has left the cluster, for the jobs
-// that are still active. Those that queued returns, which are the scheduler's
-// own, are written to it from now on.
+// TakeOver adds a bucket whose owner has left the cluster to the table, with the
+// bitmaps of jobs that are still active. queued returns the Job of an ID if the
+// scheduler owns the job; such jobs are written to this bucket from now on.
 func (t *Table) TakeOver(written *job.DoneBucket, active func(id string) *job.Record, queued func(id string) *Job) {
 	for _, b := range t.takeOver(written, active) {
 		for id, blocks := range b.jobs {
@@ -91,7 +92,8 @@
 	}
 }
 
-// takeOver returns the buckets that hold what is taken over from now on.
+// takeOver adds the bucket to the table and returns the buckets that hold its bitmaps
+// from now on: the bucket itself, or its successors if it was split.
 func (t *Table) takeOver(written *job.DoneBucket, active func(id string) *job.Record) []*bucket {
 	if t.buckets[written.Key] != nil {
 		return nil
@@ -107,7 +109,7 @@
 		}
 		tasks[id] = r.Job.Tasks
 		for block, bits := range blocks {
-			b.put(id, block, bits)
+			b.setBlock(id, block, bits)
 			b.size += job.EntrySize(r.Job.Tasks, block)
 			entries++
 		}
@@ -118,19 +120,19 @@
 	return []*bucket{b}
 }
 
-// split copies what a bucket holds that is larger than a value may be to new
-// buckets and returns those; tasks is how many tasks each job has. Tasks that
-// are done stay so, so reading both does no harm.
+// split copies the bitmaps of a bucket that exceeds the size limit to new buckets and
+// returns those. tasks holds the number of tasks of each job. A reader may find both
+// the old bucket and the new ones, which is harmless since done tasks stay done.
 func (t *Table) split(large *bucket, tasks map[string]int) (successors []*bucket) {
 	var successor *bucket
 	for id, blocks := range large.jobs {
 		for block, bits := range blocks {
 			size := job.EntrySize(tasks[id], block)
 			if successor == nil || successor.size+size > t.sizeLimit() {
-				successor = t.add()
+				successor = t.addBucket()
 				successors = append(successors, successor)
 			}
-			successor.put(id, block, bits)
+			successor.setBlock(id, block, bits)
 			successor.size += size
 		}
 	}
@@ -138,14 +140,14 @@
 	return successors
 }
 
-// clearReplaced empties the buckets whose successors hold all that they did.
+// clearReplaced empties the buckets whose successors have all been written.
 func (t *Table) clearReplaced() {
 	for _, b := range t.buckets {
 		if b.successors == nil {
 			continue
 		}
 		b.successors = slices.DeleteFunc(b.successors, func(successor *bucket) bool {
-			return successor.version > 0 || !t.contains(successor) // written, or of jobs that are over
+			return successor.version > 0 || !t.contains(successor) // written, or removed because its jobs have ended
 		})
 		if len(b.successors) == 0 {
 			clear(b.jobs)
@@ -153,21 +155,21 @@
 	}
 }
 
-// takeIdle returns the buckets that must be written though no task of them was
-// done: successors that are not in the store yet, and buckets in the store that
-// are empty. The latter are taken out of the table.
-func (t *Table) takeIdle() (idle []*bucket) {
+// takePending returns the buckets that must be written even if none of their tasks was
+// completed: successors that are not yet in the store, and empty buckets that are in
+// the store. It removes all empty buckets from the table.
+func (t *Table) takePending() (pending []*bucket) {
 	for key, b := range t.buckets {
 		switch {
-		case b.committing:
+		case b.writeInFlight:
 		case b.empty():
 			delete(t.buckets, key)
 			if b.version > 0 {
-				idle = append(idle, b)
+				pending = append(pending, b)
 			}
 		case b.version == 0:
-			idle = append(idle, b)
+			pending = append(pending, b)
 		}
 	}
-	return idle
+	return pending
 }
