--- a/internal/httpcall/call.go
+++ b/internal/httpcall/call.go
@@ -6,24 +6,25 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Doer is the part of fasthttp's clients that Do needs.
+// Doer is the interface of the fasthttp clients that Do uses.
 type Doer interface {
 	DoDeadline(req *fasthttp.Request, resp *fasthttp.Response, deadline time.Time) error
 }
 
-// Request is one request.
+// Request is an HTTP request.
 type Request struct {
 	Method string
 	URL    string
-	Body   []byte // JSON; nil: none. It is not copied.
-	// Deadline is when Do gives up. The request may be carried out nevertheless.
+	Body   []byte // JSON, or nil for no body. It is not copied.
+	// Deadline is the time at which Do returns an error. The server may nevertheless
+	// carry the request out.
 	Deadline time.Time
 	// CloseConnection closes the connection after the response.
 	CloseConnection bool
 }
 
-// Do sends a request and fills in the response, whatever its status. The error is
-// that of the client.
+// Do sends a request and stores the response in resp, whatever its status. The error
+// is that of the client.
 func Do(client Doer, r Request, resp *fasthttp.Response) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
--- a/internal/httpcall/doc.go
+++ b/internal/httpcall/doc.go
@@ -1,3 +1,3 @@
-// Package httpcall sends single HTTP requests with JSON bodies, as the clients of the
-// key-value store, the cloud and the workers do.
+// Package httpcall sends single HTTP requests with JSON bodies. The clients of the
+// key-value store, of the cloud and of the workers use it.
 package httpcall
--- a/internal/overload/doc.go
+++ b/internal/overload/doc.go
@@ -1,4 +1,4 @@
 // Package overload measures the scheduling latency of this process: how long its
-// goroutines wait for a processor. A controller that knows it is short of processor
-// time does not mistake its own slowness for the silence of others.
+// goroutines wait for a processor. With it a controller detects that it is short of CPU
+// time, so that it does not take its own delays for missing heartbeats of others.
 package overload
--- a/internal/overload/meter.go
+++ b/internal/overload/meter.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// schedulingLatencies is the runtime's distribution of how long goroutines
-	// that were ready to run had to wait for the processor.
+	// schedulingLatencies is the name of the runtime's histogram of the times that
+	// goroutines spent runnable before they ran.
 	schedulingLatencies = "/sched/latencies:seconds"
-	// sampleInterval is how often the distribution is read.
+	// sampleInterval is the interval at which the histogram is read.
 	sampleInterval = 500 * time.Millisecond
-	// quantile is the part of the goroutines that waited no longer than Latency.
+	// quantile is the quantile of the latencies that Latency returns.
 	quantile = 0.9
 )
 
@@ -24,11 +24,11 @@
 // ready for use and reports no latency until Run has sampled for a while.
 type Meter struct {
 	latency  atomic.Int64 // nanoseconds
-	previous []uint64     // counts of the histogram as last read
+	previous []uint64     // counts of the histogram at the previous sample
 }
 
-// Latency returns how long goroutines lately waited for a processor: nine of ten no
-// longer than this. It is safe for concurrent use.
+// Latency returns the 90th percentile of the times that goroutines waited for a
+// processor during the last sample interval. It is safe for concurrent use.
 func (m *Meter) Latency() time.Duration { return time.Duration(m.latency.Load()) }
 
 // Run samples the scheduling latency until ctx ends.
@@ -42,8 +42,8 @@
 	})
 }
 
-// observe takes the cumulative histogram and keeps the quantile of what was added to
-// it since the last call; zero if nothing was.
+// observe sets the latency to the quantile of the values that were added to the
+// cumulative histogram since the previous call, or to zero if there are none.
 func (m *Meter) observe(h *metrics.Float64Histogram) {
 	if len(m.previous) != len(h.Counts) {
 		m.previous = make([]uint64, len(h.Counts))
@@ -65,7 +65,8 @@
 	m.latency.Store(int64(latency * float64(time.Second)))
 }
 
-// lowerBound returns where a bucket begins; the first may begin at -Inf.
+// lowerBound returns the lower bound of a bucket, or zero if that is -Inf, as it may be
+// for the first bucket.
 func lowerBound(h *metrics.Float64Histogram, bucket int) float64 {
 	return math.Max(0, h.Buckets[bucket])
 }
--- a/internal/wait/doc.go
+++ b/internal/wait/doc.go
@@ -1,3 +1,3 @@
-// Package wait sleeps, waits for channels and calls functions at intervals, until a
-// context ends.
+// Package wait provides functions that sleep, wait for a channel or call a function
+// periodically, until a context ends.
 package wait
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// Every calls f every interval until ctx ends, and returns nil then. The first call is
-// after one interval; ticks that come while f runs are dropped.
+// Every calls f at each interval until ctx ends, and then returns nil. The first call
+// is after one interval. Like time.Ticker, it drops ticks while f is running.
 func Every(ctx context.Context, interval time.Duration, f func()) error {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
@@ -32,7 +32,7 @@
 	}
 }
 
-// For waits until done is closed. The error is that of ctx if it ends before.
+// For waits until done is closed. It returns the error of ctx if ctx ends first.
 func For(ctx context.Context, done <-chan struct{}) error {
 	select {
 	case <-done:
