--- a/internal/detector/detector.go
+++ b/internal/detector/detector.go
@@ -49,7 +49,7 @@
 // concurrent use.
 type Detector struct {
 	settings    Settings
-	busyUntil   time.Time // this controller counts as busy until then, see NoteDelay
+	busyUntil   time.Time // this controller counts as busy until then, see RecordDelay
 	partitioned bool
 }
 
--- a/internal/detector/overload.go
+++ b/internal/detector/overload.go
@@ -20,11 +20,11 @@
 	return d.settings.Latency()
 }
 
-// NoteDelay records how long the scheduler's loop waited for its lock or held it.
+// RecordDelay records how long the scheduler's loop waited for its lock or held it.
 // Goroutines that process answers wait for the same lock. After a long delay this
 // controller counts as busy for as long as a command and the probes after it wait for
 // their answers.
-func (d *Detector) NoteDelay(delay time.Duration, now time.Time) {
+func (d *Detector) RecordDelay(delay time.Duration, now time.Time) {
 	if delay > busyLatency {
 		d.busyUntil = now.Add(d.settings.CommandTimeout + deadProbeThreshold*ProbeTimeout)
 	}
--- a/internal/detector/worker.go
+++ b/internal/detector/worker.go
@@ -31,26 +31,26 @@
 	return Worker{Machine: m, LastUnsolicited: now}
 }
 
-// NoteUnsolicited records that an unsolicited heartbeat has arrived. fresh is whether it
+// RecordUnsolicited records that an unsolicited heartbeat has arrived. fresh is whether it
 // is newer than everything known about the worker. On a slow link, the answer to a later
 // probe can overtake a heartbeat. Such a heartbeat brings no news but still counts, as
 // long as it is not a duplicate: otherwise the worker would be taken for one whose
 // heartbeats reach no controller.
-func (w *Worker) NoteUnsolicited(heartbeat *wire.Heartbeat, fresh bool, now time.Time) {
+func (w *Worker) RecordUnsolicited(heartbeat *wire.Heartbeat, fresh bool, now time.Time) {
 	if fresh || heartbeat.Incarnation == w.Incarnation && heartbeat.Seq > w.lastUnsolicitedSeq {
 		w.LastUnsolicited, w.lastUnsolicitedSeq = now, heartbeat.Seq
 	}
 }
 
-// NoteAlive records that news of the worker has arrived, by a heartbeat or an answer.
-func (w *Worker) NoteAlive() { w.failedProbes = 0 }
+// MarkAlive records that news of the worker has arrived, by a heartbeat or an answer.
+func (w *Worker) MarkAlive() { w.failedProbes = 0 }
 
-// NoteReachable records that a direct request was answered.
-func (w *Worker) NoteReachable() { w.unreachableSince, w.unansweredProbes = time.Time{}, 0 }
+// MarkReachable records that a direct request was answered.
+func (w *Worker) MarkReachable() { w.unreachableSince, w.unansweredProbes = time.Time{}, 0 }
 
-// NoteUnreachable records that a direct request was not answered. Arriving heartbeats do
+// MarkUnreachable records that a direct request was not answered. Arriving heartbeats do
 // not clear this state, since they do not prove that requests reach the worker.
-func (w *Worker) NoteUnreachable(now time.Time) {
+func (w *Worker) MarkUnreachable(now time.Time) {
 	if w.unreachableSince.IsZero() {
 		w.unreachableSince = now
 	}
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -47,7 +47,7 @@
 		return nil
 	}
 	m.LastReply = now
-	m.NoteUnsolicited(heartbeat, fresh, now)
+	m.RecordUnsolicited(heartbeat, fresh, now)
 	if fresh {
 		reply.Commands = append(reply.Commands, m.Reply()...)
 		return reply
@@ -167,7 +167,7 @@
 	if !fresh {
 		return false
 	}
-	m.NoteAlive()
+	m.MarkAlive()
 	if m.Type == nil {
 		m.Type = s.types[m.TypeName]
 	}
--- a/internal/scheduler/loop.go
+++ b/internal/scheduler/loop.go
@@ -84,7 +84,7 @@
 	s.scheduleLocked(time.Now())
 	s.recordPlacementsLocked()
 	s.placeRemotelyLocked(time.Now())
-	s.detector.NoteDelay(max(locked.Sub(began), time.Since(locked)), time.Now())
+	s.detector.RecordDelay(max(locked.Sub(began), time.Since(locked)), time.Now())
 	s.mu.Unlock()
 	took = time.Since(began)
 	s.passes.add(took)
--- a/internal/scheduler/probes.go
+++ b/internal/scheduler/probes.go
@@ -107,11 +107,11 @@
 // worker that does not answer gets no new tasks, even while its heartbeats arrive.
 func (s *Scheduler) noteAnswerLocked(m *machine, err error) bool {
 	if err == nil {
-		m.NoteReachable()
+		m.MarkReachable()
 		return true
 	}
 	if now := time.Now(); !s.detector.Inconclusive(err, now) {
-		m.NoteUnreachable(now)
+		m.MarkUnreachable(now)
 	}
 	s.log.Debug("no answer from worker", "machine", m.Name, "err", err)
 	return false
