--- a/cmd/heronwick/membership.go
+++ b/cmd/heronwick/membership.go
@@ -89,7 +89,7 @@
 // what its jobs take.
 func (c *controller) teamWeights() map[string]float64 {
 	weights := map[string]float64{}
-	active := c.jobs.Weights()
+	active := c.jobs.ActiveCPUsByTeam()
 	for _, team := range c.settings.Teams {
 		weights[team.Name] = 1 + team.CPUs + active[team.Name]
 	}
--- a/internal/job/store.go
+++ b/internal/job/store.go
@@ -178,9 +178,9 @@
 	return Outcome{}, false
 }
 
-// Weights returns, by team, the CPUs that all tasks of its active jobs take
-// together.
-func (s *Store) Weights() map[string]float64 {
+// ActiveCPUsByTeam returns, by team, the CPUs that all tasks of its active jobs take
+// jobs.
+func (s *Store) ActiveCPUsByTeam() map[string]float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	weights := map[string]float64{}
