--- a/internal/job/dependencies.go
+++ b/internal/job/dependencies.go
@@ -101,7 +101,7 @@
 func activeIDs(keys []string) []string {
 	var ids []string
 	for _, key := range keys {
-		id, _ := IsActive(key)
+		id, _ := ActiveJobID(key)
 		ids = append(ids, id)
 	}
 	return ids
--- a/internal/job/follow.go
+++ b/internal/job/follow.go
@@ -81,7 +81,7 @@
 	}
 	listed := map[string]bool{}
 	for _, item := range listing.Items {
-		id, _ := IsActive(item.Key)
+		id, _ := ActiveJobID(item.Key)
 		listed[id] = true
 		s.apply(item.Key, item.Value, item.Version)
 	}
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -31,9 +31,9 @@
 	return wire.Condition{Key: activePrefix + r.Job.ID, Version: r.Version}
 }
 
-// IsActive returns the id of the job whose active record key is; ok is false for
-// a key of another kind.
-func IsActive(key string) (id string, ok bool) { return idUnder(activePrefix, key) }
+// ActiveJobID returns the id of the job whose active record key is; ok is false for
+// false if the key does not hold an active record.
+func ActiveJobID(key string) (id string, ok bool) { return idUnder(activePrefix, key) }
 
 // idUnder returns what follows the prefix in a key; ok is false if that is nothing
 // or the key has another prefix.
