--- a/internal/completion/flush.go
+++ b/internal/completion/flush.go
@@ -79,7 +79,7 @@
 	for block := range j.dirty {
 		b := j.buckets[block]
 		if !t.contains(b) {
-			b = t.reserve(job.EntrySize(j.record.Job.Tasks, block))
+			b = t.reserve(job.MaxDoneEntryBytes(j.record.Job.Tasks, block))
 			j.buckets[block] = b
 		}
 		if b.writeInFlight {
--- a/internal/completion/table.go
+++ b/internal/completion/table.go
@@ -110,7 +110,7 @@
 		tasks[id] = r.Job.Tasks
 		for block, bits := range blocks {
 			b.setBlock(id, block, bits)
-			b.size += job.EntrySize(r.Job.Tasks, block)
+			b.size += job.MaxDoneEntryBytes(r.Job.Tasks, block)
 			entries++
 		}
 	}
@@ -127,7 +127,7 @@
 	var successor *bucket
 	for id, blocks := range large.jobs {
 		for block, bits := range blocks {
-			size := job.EntrySize(tasks[id], block)
+			size := job.MaxDoneEntryBytes(tasks[id], block)
 			if successor == nil || successor.size+size > t.sizeLimit() {
 				successor = t.addBucket()
 				successors = append(successors, successor)
--- a/internal/job/answers.go
+++ b/internal/job/answers.go
@@ -169,7 +169,7 @@
 	if value, err = json.Marshal(r); err != nil {
 		return nil, nil, fmt.Errorf("encoding job %s: %w", j.ID, err)
 	}
-	largestBucket := EntrySize(j.Tasks, 0) + bucketOverhead
+	largestBucket := MaxDoneEntryBytes(j.Tasks, 0) + bucketOverhead
 	if max(len(value), largestBucket) > s.maxValue {
 		return nil, nil, &wire.FieldError{Reason: "the job is too large to be recorded"}
 	}
--- a/internal/job/done.go
+++ b/internal/job/done.go
@@ -79,9 +79,9 @@
 // entryOverhead is how many bytes an entry takes besides its encoded bits.
 const entryOverhead = 40
 
-// EntrySize returns about how many bytes a block of a job with so many tasks takes of
-// a bucket at most.
-func EntrySize(tasks, block int) int {
+// MaxDoneEntryBytes returns about how many bytes a block of a job with so many tasks takes of
+// job with the given number of tasks.
+func MaxDoneEntryBytes(tasks, block int) int {
 	bits := min(blockTasks, tasks-block*blockTasks)
 	base64Bytes := (bits/8 + 3) * 4 / 3
 	return base64Bytes + entryOverhead
