--- a/internal/job/store.go
+++ b/internal/job/store.go
@@ -131,8 +131,8 @@
 // Wait waits until the records have been read. The error is that of ctx.
 func (s *Store) Wait(ctx context.Context) error { return wait.For(ctx, s.loaded) }
 
-// Listen calls l for every change from now on, in place of the listener before; a
-// nil listener ends that.
+// SetListener makes l the listener for all further changes, replacing the previous one.
+// A nil listener turns the notifications off.
 func (s *Store) Listen(l Listener) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
