--- a/cmd/heronwick/membership.go
+++ b/cmd/heronwick/membership.go
@@ -48,7 +48,7 @@
 	if err := c.machineTypes.Wait(ctx); err != nil {
 		return err
 	}
-	if err := c.jobs.Wait(ctx); err != nil {
+	if err := c.jobs.WaitUntilReady(ctx); err != nil {
 		return err
 	}
 	s := scheduler.New(scheduler.Options{
--- a/internal/job/resolver.go
+++ b/internal/job/resolver.go
@@ -29,7 +29,7 @@
 // runResolver looks up the dependencies that are not among the active jobs, until ctx
 // ends: mostly they were done before this controller started.
 func (s *Store) runResolver(ctx context.Context) error {
-	if s.Wait(ctx) != nil {
+	if s.WaitUntilReady(ctx) != nil {
 		return nil
 	}
 	for {
--- a/internal/job/store.go
+++ b/internal/job/store.go
@@ -128,8 +128,8 @@
 	}
 }
 
-// Wait waits until the records have been read. The error is that of ctx.
-func (s *Store) Wait(ctx context.Context) error { return wait.For(ctx, s.loaded) }
+// WaitUntilReady waits until the records have been read. The error is that of ctx.
+func (s *Store) WaitUntilReady(ctx context.Context) error { return wait.For(ctx, s.loaded) }
 
 // SetListener makes l the listener for all further changes, replacing the previous one.
 // A nil listener turns the notifications off.
