--- a/internal/job/answers.go
+++ b/internal/job/answers.go
@@ -44,24 +44,24 @@
 	return cachedJob{status: wire.JobStatus{ID: id, State: p.state(), Done: p.Done, Running: p.Running}, record: r}
 }
 
-// Resolution reports whether a job exists and whether it is over.
+// Resolution reports whether a job exists and whether it has ended.
 type Resolution struct {
-	Found   bool // somebody has accepted the job
-	Over    bool
-	Outcome Outcome // of a job that is over
+	Found   bool // the job was accepted
+	Ended   bool
+	Outcome Outcome // of a job that has ended
 }
 
 // Resolve finds out about a job that is not cached. The listener is notified of an
 // active one.
 func (s *Store) Resolve(ctx context.Context, id string) (Resolution, error) {
 	if outcome, over := s.outcome(id); over {
-		return Resolution{Found: true, Over: true, Outcome: outcome}, nil
+		return Resolution{Found: true, Ended: true, Outcome: outcome}, nil
 	}
 	if found, err := s.read(ctx, id); err != nil || !found {
 		return Resolution{}, err
 	}
 	outcome, over := s.outcome(id)
-	return Resolution{Found: true, Over: over, Outcome: outcome}, nil
+	return Resolution{Found: true, Ended: over, Outcome: outcome}, nil
 }
 
 // Lookup is a job's status, if there is such a job.
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -128,7 +128,7 @@
 	for id := range ids {
 		g.Go(func() error {
 			resolution, err := jobs.Resolve(ctx, id)
-			if resolution.Over {
+			if resolution.Ended {
 				mu.Lock()
 				defer mu.Unlock()
 				outcomes[id] = resolution.Outcome
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -41,7 +41,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.resolvingJobs, id)
-	if resolution.Over || !resolution.Found {
+	if resolution.Ended || !resolution.Found {
 		// The job may have ended long ago, so its tasks must stop soon.
 		s.endJobLocked(id, resolution.Outcome, time.Now().Add(s.opts.Settings.HeartbeatInterval*2))
 	}
