--- a/internal/job/store.go
+++ b/internal/job/store.go
@@ -133,7 +133,7 @@
 
 // SetListener makes l the listener for all further changes, replacing the previous one.
 // A nil listener turns the notifications off.
-func (s *Store) Listen(l Listener) {
+func (s *Store) SetListener(l Listener) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listener = l
@@ -178,7 +178,7 @@
 	return Outcome{}, false
 }
 
-// ActiveCPUsByTeam returns, by team, the CPUs that all tasks of its active jobs take
+// ActiveCPUsByTeam returns, for each team, the total CPUs of all tasks of its active
 // jobs.
 func (s *Store) ActiveCPUsByTeam() map[string]float64 {
 	s.mu.Lock()
--- a/internal/scheduler/options.go
+++ b/internal/scheduler/options.go
@@ -88,9 +88,9 @@
 
 // Jobs stores the job records and notifies the scheduler of new and ended jobs.
 type Jobs interface {
-	// Listen makes listener receive every later change; a nil listener ends the
+	// SetListener makes listener receive every later change; a nil listener ends the
 	// notifications.
-	Listen(listener job.Listener)
+	SetListener(listener job.Listener)
 	// Active returns the record of an active job, or nil if none is cached.
 	Active(id string) *job.Record
 	// AllActive returns the records of all active jobs.
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -133,8 +133,8 @@
 func (s *Scheduler) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	s.ctx, s.group = ctx, group
-	s.opts.Jobs.Listen(s)
-	defer s.opts.Jobs.Listen(nil)
+	s.opts.Jobs.SetListener(s)
+	defer s.opts.Jobs.SetListener(nil)
 	group.Go(func() error { return s.loop(ctx) })
 	group.Go(func() error { return s.runAutoscaling(ctx) })
 	group.Go(func() error { return s.runSettling(ctx) })
