--- a/internal/cluster/grpc.go
+++ b/internal/cluster/grpc.go
@@ -59,8 +59,8 @@
 }
 
 // Heartbeat implements PeerClient.
-func (c *Conn) Heartbeat(ctx context.Context, mine *peerpb.Status) (*peerpb.Status, error) {
-	return c.client.Beat(ctx, mine)
+func (c *Conn) Heartbeat(ctx context.Context, ownStatus *peerpb.Status) (*peerpb.Status, error) {
+	return c.client.Beat(ctx, ownStatus)
 }
 
 // Do implements state.Transport: the peer forwards the request to the store.
@@ -113,8 +113,8 @@
 }
 
 // Beat implements peerpb.PeerServer.
-func (s *Service) Beat(_ context.Context, theirs *peerpb.Status) (*peerpb.Status, error) {
-	return s.Cluster.HandleHeartbeat(theirs), nil
+func (s *Service) Beat(_ context.Context, peerStatus *peerpb.Status) (*peerpb.Status, error) {
+	return s.Cluster.HandleHeartbeat(peerStatus), nil
 }
 
 // Tell implements peerpb.PeerServer.
--- a/internal/cluster/leader_test.go
+++ b/internal/cluster/leader_test.go
@@ -13,7 +13,8 @@
 	"heronwick/internal/state"
 )
 
-// leader is a leader under test. Its two peers are scripted and silent at first.
+// leader is the controller under test, which leads. Its two peers are fakes that do
+// not answer at first.
 type leader struct {
 	*Cluster
 	service       *standin.State
@@ -21,7 +22,8 @@
 	b, d          *scriptedPeer
 }
 
-// withLeader runs f in a synctest bubble with a leader of three controllers.
+// withLeader runs f in a synctest bubble with the leader of a cluster of three
+// controllers.
 func withLeader(t *testing.T, f func(t *testing.T, c *leader)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newLeader()
@@ -52,7 +54,7 @@
 	return state.NewClient(transport, state.NewBudget(150, 60, 16))
 }
 
-// testOptions are those of a controller "a" without peers.
+// testOptions returns the options of a controller "a" without peers.
 func testOptions(client *state.Client, cancellations *fakeCancellations) Options {
 	return Options{
 		Node: "a", Client: client, LeaseDuration: 20 * time.Second, CancelTimeout: 40 * time.Second, Cancellations: cancellations,
--- a/internal/cluster/leadership.go
+++ b/internal/cluster/leadership.go
@@ -9,7 +9,8 @@
 	"heronwick/wire"
 )
 
-// renewLeadership confirms that the epoch is current and renews the leader's lease.
+// renewLeadership confirms that the epoch is current and renews the lease of the
+// leader key.
 func (c *Cluster) renewLeadership(ctx context.Context) {
 	if !c.confirmWithStore(ctx) {
 		return
@@ -21,13 +22,13 @@
 	c.mu.Unlock()
 	err := c.opts.Client.Renew(ctx, lease)
 	if (errors.Is(err, state.ErrNotFound) || keyLost) && !steppedDown {
-		c.opts.Log.Info("leader lease expired, acquiring it again")
+		c.opts.Log.Info("leader lease expired, reacquiring it")
 		c.reacquireLeaderLease(ctx)
 	}
 }
 
-// confirmWithStore asks the store whether the epoch is current and reports
-// whether it is.
+// confirmWithStore reports whether the store confirms that the epoch is current. It
+// uses a transaction that has a condition but no changes.
 func (c *Cluster) confirmWithStore(ctx context.Context) bool {
 	condition := c.View().Condition
 	sent := time.Now()
@@ -40,24 +41,25 @@
 	case errors.As(err, &conflict):
 		c.refreshAndLog(ctx)
 	default:
-		c.opts.Log.Debug("confirming the epoch failed", "err", err)
+		c.opts.Log.Debug("failed to confirm the epoch", "err", err)
 	}
 	return false
 }
 
-// confirmAtRevision takes the store's answer, to a request sent at a time, that
-// the epoch is current. It confirms the epoch only together with the
-// cancellations up to that revision, which the watch may not have brought; where
-// the peers have confirmed it lately, that is not needed.
+// confirmAtRevision records that the store confirmed the epoch at a revision, in
+// response to a request from the time sent. The confirmation counts only once all
+// cancellations up to that revision are known, and the watch may not have delivered
+// them yet, so it syncs them first. It skips all of this if the peers have
+// confirmed the epoch recently.
 func (c *Cluster) confirmAtRevision(ctx context.Context, sent time.Time, revision uint64) {
 	c.mu.Lock()
-	confirmedLately := sent.Sub(c.confirmedAt) < c.confirmationTTL/3
+	confirmedRecently := sent.Sub(c.confirmedAt) < c.confirmationTTL/3
 	c.mu.Unlock()
-	if confirmedLately {
+	if confirmedRecently {
 		return
 	}
 	if err := c.opts.Cancellations.SyncToRevision(ctx, revision); err != nil {
-		c.opts.Log.Debug("the epoch is current, but not the known cancellations", "err", err)
+		c.opts.Log.Debug("epoch not confirmed: failed to read the cancellations up to the confirming revision", "err", err)
 		return
 	}
 	c.mu.Lock()
@@ -67,8 +69,9 @@
 	}
 }
 
-// reacquireLeaderLease takes the leader key again within the same epoch, if no
-// other controller has claimed the epoch since.
+// reacquireLeaderLease writes the leader key again with a new lease in the same
+// epoch, unless another controller has claimed an epoch or written the key
+// meanwhile.
 func (c *Cluster) reacquireLeaderLease(ctx context.Context) {
 	lease, err := c.opts.Client.Grant(ctx, c.timeouts.leaderTTL)
 	if err != nil {
@@ -83,7 +86,7 @@
 	c.mu.Unlock()
 	revision, err := c.opts.Client.Txn(ctx, state.Urgent, wire.Txn{If: conditions, Then: []wire.Change{putLeader}})
 	if err != nil {
-		_ = c.refresh(ctx) // the next round decides on what it shows
+		_ = c.refresh(ctx) // after an error, the next round continues with the last known state
 		return
 	}
 	c.mu.Lock()
@@ -91,26 +94,27 @@
 	c.lease, c.leader, c.leaderVersion = lease, c.ownRecord(), revision
 }
 
-// StepDown gives up the leader key, so that another controller takes over soon:
-// this one cannot reach the workers while another can. It does nothing if this
-// controller does not lead.
+// StepDown deletes the leader key so that another controller takes over soon. It is
+// called when this controller cannot reach the workers but another one can. It does
+// nothing if this controller is not the leader.
 func (c *Cluster) StepDown(ctx context.Context) {
 	condition, leads := c.markSteppedDown()
 	if !leads {
 		return
 	}
-	c.opts.Log.Info("stepping down")
+	c.opts.Log.Info("stepping down as leader")
 	_, err := c.opts.Client.Txn(ctx, state.Urgent, wire.Txn{
 		If:   []wire.Condition{condition},
 		Then: []wire.Change{{Delete: leaderKey}},
 	})
 	if err != nil {
-		c.opts.Log.Info("stepping down failed", "err", err)
+		c.opts.Log.Info("failed to step down as leader", "err", err)
 	}
 }
 
-// markSteppedDown keeps a leader from taking the leader key again soon, and
-// returns the condition under which it may delete that.
+// markSteppedDown prevents this controller from reacquiring the leader key for a
+// while if it is the leader, and returns the condition under which it may delete
+// the key.
 func (c *Cluster) markSteppedDown() (condition wire.Condition, leads bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/membership.go
+++ b/internal/cluster/membership.go
@@ -5,29 +5,31 @@
 	"time"
 )
 
-// exclusionPeriod is how long a member that could not reach its workers is kept
-// from joining again.
+// exclusionPeriod is how long a member that was removed because it could not reach
+// its workers may not join again.
 const exclusionPeriod = 15 * time.Second
 
-// Membership is the cluster as seen by the scheduler of one membership of this
-// controller. A scheduler whose membership is over may take long to end, and
-// meanwhile its controller may be a member again, under a newer token: what the
-// old scheduler knows is no longer current.
+// Membership is the view of the cluster for the scheduler that runs during one
+// membership of this controller. A scheduler may take long to stop after its
+// membership has ended, and its controller may have joined again under a newer
+// token meanwhile. The state of the old scheduler is then outdated, so it must not
+// act under the new membership.
 type Membership struct {
 	*Cluster
 	since uint64 // token of the epoch in which the membership began
 }
 
-// FencingToken returns the fencing token of the current epoch, and whether the
-// scheduler of this membership may answer workers' heartbeats and command them
-// now: both as of the same moment.
+// FencingToken returns the fencing token of the current epoch. ok reports whether the
+// scheduler of this membership may answer heartbeats of workers and command them
+// now. Both are read atomically.
 func (m *Membership) FencingToken() (token uint64, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.epoch.Token, m.canAnswerHeartbeatsLocked() && m.epoch.Members[m.opts.Node].Since == m.since
 }
 
-// startMembershipLocked starts RunMembership for a membership that has begun.
+// startMembershipLocked starts RunMembership if this controller is a member and it is
+// not running yet.
 func (c *Cluster) startMembershipLocked(ctx context.Context) {
 	if !c.isMemberLocked() || c.stopMembership != nil {
 		return
@@ -38,8 +40,8 @@
 	go c.runMembership(ctx, &Membership{c, c.epoch.Members[c.opts.Node].Since}, previous, c.membershipDone)
 }
 
-// runMembership calls RunMembership once that of the membership before, if any,
-// has returned, and closes done afterwards.
+// runMembership calls RunMembership after that of the previous membership, if any,
+// has returned, and closes done when it returns.
 func (c *Cluster) runMembership(ctx context.Context, membership *Membership, previous, done chan struct{}) {
 	defer close(done)
 	if previous != nil {
@@ -47,11 +49,11 @@
 	}
 	c.opts.Log.Info("membership started")
 	if err := c.opts.RunMembership(ctx, membership); err != nil && ctx.Err() == nil {
-		c.opts.Log.Error("membership failed", "err", err)
+		c.opts.Log.Error("scheduler of the membership failed", "err", err)
 	}
 }
 
-// endMembershipLocked stops RunMembership, if it runs.
+// endMembershipLocked stops RunMembership if it is running.
 func (c *Cluster) endMembershipLocked() {
 	if c.stopMembership == nil {
 		return
@@ -61,14 +63,15 @@
 	c.stopMembership = nil
 }
 
-// epochProposal is an epoch that may follow the one whose key has the version.
+// epochProposal is a candidate for the next epoch. version is the version of the
+// epoch key that it replaces.
 type epochProposal struct {
 	next    Epoch
 	version uint64
 }
 
-// reconcileMembership keeps the members and the assignment of teams up to date.
-// It does nothing on a controller that does not lead.
+// reconcileMembership updates the members and the assignment of teams in the epoch.
+// It does nothing if this controller is not the leader.
 func (c *Cluster) reconcileMembership(ctx context.Context) {
 	weights := c.opts.TeamWeights()
 	proposal := c.proposeMembers(weights)
@@ -77,12 +80,12 @@
 	}
 	proposal.next.assignTeams(weights)
 	if err := c.compareAndSwapEpoch(ctx, proposal.next, proposal.version); err != nil {
-		c.opts.Log.Info("changing the epoch failed", "err", err)
+		c.opts.Log.Info("failed to update the members or teams of the epoch", "err", err)
 	}
 }
 
-// proposeMembers returns an epoch with the members as they should be now, nil if
-// nothing is to be changed. Its teams are not assigned yet.
+// proposeMembers returns a proposal with the members as they should be now, or nil if
+// neither members nor teams need a change. The teams are not assigned yet.
 func (c *Cluster) proposeMembers(weights map[string]float64) *epochProposal {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,10 +106,11 @@
 	return proposal
 }
 
-// updateMemberLocked removes a peer from the members of next or adds it, and
-// reports whether it did either. One that restarted is removed and added again.
+// updateMemberLocked adds a peer to the members of next or removes it, and reports
+// whether it changed them. A peer that has restarted is removed and may be added
+// again.
 func (c *Cluster) updateMemberLocked(next *Epoch, p *peer, now time.Time) (changed bool) {
-	member := next.Members[p.node].Incarnation // 0: it is none
+	member := next.Members[p.node].Incarnation // 0 if the peer is not a member
 	alive := !p.lastSeen.IsZero() && now.Sub(p.lastSeen) < c.timeouts.removalTimeout
 	if alive && member != 0 && p.status.Cut && p.status.Incarnation == member && c.workersReachOthersLocked(p) {
 		p.excludedUntil = now.Add(exclusionPeriod)
@@ -114,11 +118,12 @@
 	excluded := now.Before(p.excludedUntil)
 	if member != 0 && (!alive || p.incarnation != member || excluded) {
 		delete(next.Members, p.node)
-		c.opts.Log.Info("member removed", "member", p.node, "silent", now.Sub(p.lastSeen), "excluded", excluded)
+		c.opts.Log.Info("member removed", "member", p.node, "last_heard_ago", now.Sub(p.lastSeen), "excluded", excluded)
 		member, changed = 0, true
 	}
-	// Only a peer that knows this epoch is surely still there: the leader
-	// before, say, was heard a moment before it ended.
+	// A peer joins only if it knows the current epoch, which proves that it was
+	// alive after the epoch began. A recent heartbeat alone is no proof: the
+	// previous leader, for example, may have sent it just before it failed.
 	eligible := alive && p.status.Ready && !p.status.Cut && p.token >= c.epoch.Token && now.After(p.excludedUntil)
 	if member == 0 && eligible {
 		next.Members[p.node] = Member{Incarnation: p.incarnation, Since: next.Token}
@@ -128,15 +133,16 @@
 	return changed
 }
 
-// workersReachOthersLocked reports whether the workers that a cut-off member
-// cannot reach send their heartbeats to other controllers.
-func (c *Cluster) workersReachOthersLocked(cut *peer) bool {
-	heard := max(len(c.workersHeard), c.maxWorkersHeardByPeerLocked(cut))
-	return heard > int(cut.status.Machines)/3
+// workersReachOthersLocked reports whether workers that a partitioned member cannot
+// reach send their heartbeats to other controllers: more than a third as many as
+// the member has machines.
+func (c *Cluster) workersReachOthersLocked(partitioned *peer) bool {
+	heard := max(len(c.workersHeard), c.maxWorkersHeardByPeerLocked(partitioned))
+	return heard > int(partitioned.status.Machines)/3
 }
 
-// teamsOutdated reports whether a team is owned by a node that is no member, or a
-// team of weights by none.
+// teamsOutdated reports whether a team is owned by a node that is not a member, or a
+// team in weights has no owner.
 func (e *Epoch) teamsOutdated(weights map[string]float64) bool {
 	for _, node := range e.Teams {
 		if e.Members[node].Since == 0 {
--- a/internal/cluster/membership_test.go
+++ b/internal/cluster/membership_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A controller that was heard from, but does not know the epoch, may have ended
-// since: it does not become a member.
+// A controller that sent heartbeats but does not know the current epoch may have
+// failed before the epoch began, so it must not become a member.
 func TestOnlyPeersWithCurrentEpochJoin(t *testing.T) {
 	withLeader(t, func(t *testing.T, c *leader) {
 		c.b.setStatus(0, true)
--- a/internal/cluster/options.go
+++ b/internal/cluster/options.go
@@ -12,51 +12,56 @@
 
 // Options are the settings and dependencies of a Cluster.
 type Options struct {
-	Node      string // this controller's name
+	Node      string // name of this controller
 	Client    *state.Client
 	Transport *state.FailoverTransport
-	Peers     map[string]PeerClient // the other controllers, by node
+	Peers     map[string]PeerClient // connections to the other controllers, by node
 	Log       *slog.Logger
 
-	// Teams are all configured teams.
+	// Teams are the names of all configured teams.
 	Teams []string
-	// MaxValueBytes is how many bytes a value of the store may have; 0: unknown.
+	// MaxValueBytes is the maximum size of a value in the store; 0 means unknown.
 	MaxValueBytes int
-	// LeaseDuration is the workers' lease. The confirmation TTL, for which heartbeats
-	// are answered without a new confirmation of the epoch, is at most a quarter
-	// of it.
+	// LeaseDuration is the duration of a worker's lease. The confirmation TTL, which
+	// is how long heartbeats are answered without a new confirmation of the epoch,
+	// is at most a quarter of it.
 	LeaseDuration time.Duration
-	// CancelTimeout is the time from the cancellation of a job until its tasks must be
-	// gone.
+	// CancelTimeout is the time after the cancellation of a job within which all its
+	// tasks must have stopped.
 	CancelTimeout time.Duration
-	// TimeoutFactor is how many times longer than usual the controllers may be busy.
+	// TimeoutFactor multiplies the timeouts for other controllers, because they respond
+	// more slowly if they have less processor time than usual. Values below 1 count
+	// as 1.
 	TimeoutFactor float64
 
 	Cancellations Cancellations
-	// RunMembership runs the scheduler of a membership. Its context ends with
-	// that membership.
+	// RunMembership runs the scheduler during a membership. Its context is cancelled
+	// when the membership ends.
 	RunMembership func(ctx context.Context, membership *Membership) error
-	// FillStatus fills in the scheduler's part of the status that peers are sent.
+	// FillStatus sets the scheduler's fields of the status that is sent to peers.
 	FillStatus func(*peerpb.Status)
-	// OnChange is called, without any lock, when the epoch or an owner changed.
+	// OnChange is called after the epoch or the owner of a machine may have changed.
+	// No lock is held during the call.
 	OnChange func()
-	// TeamWeights returns how much work each team has.
+	// TeamWeights returns the amount of work of each team.
 	TeamWeights func() map[string]float64
-	// Progress returns what to send the peers of the jobs' progress, and
-	// OnProgress takes what the leader sent; both are optional, for display only.
+	// Progress returns the progress of jobs to send to the peers, and OnProgress
+	// receives the progress that the leader has sent. Both are optional, and the
+	// values are only displayed.
 	Progress   func() []*peerpb.Progress
 	OnProgress func([]*peerpb.Progress)
-	// WatchHandler follows the keys below the watched prefix that are not this
-	// package's own; optional. It is called under a lock, in the store's order.
+	// WatchHandler receives all items and events under the watched prefix, including
+	// keys that this package does not use. It is optional. It is called in the order
+	// of the store's revisions, with the lock of the Cluster held.
 	WatchHandler WatchHandler
-	// CleanupConditions returns the conditions under which records may be removed, or an
-	// error if this controller may not remove any; nil: there are none besides
-	// the epoch.
+	// CleanupConditions returns the conditions, in addition to the epoch, under which
+	// records may be removed, or an error if this controller may not remove any. If
+	// the function is nil, there are no additional conditions.
 	CleanupConditions func() ([]wire.Condition, error)
 }
 
-// WatchHandler mirrors the keys that the watch brings: Replace with a full list
-// as of a revision, Apply with the events after it.
+// WatchHandler maintains a copy of the watched keys. Replace receives a full list as
+// of a revision, Apply the events after the last known revision up to a new one.
 type WatchHandler interface {
 	Replace(items []wire.Item, revision uint64)
 	Apply(events []wire.Event, revision uint64)
@@ -64,22 +69,24 @@
 
 const (
 	heartbeatInterval = time.Second
-	// Base values of timeouts, for controllers of usual speed.
+	// Timeouts for a TimeoutFactor of 1.
 	baseLeaderTTL        = 3 * time.Second
 	baseHeartbeatTimeout = time.Second
 	baseRemovalTimeout   = 2500 * time.Millisecond
-	// maxMissedHeartbeats is how many heartbeats in a row a live peer may miss.
+	// maxMissedHeartbeats is the number of consecutive heartbeats that a peer may miss
+	// and still count as live.
 	maxMissedHeartbeats = 3
 )
 
-// timeouts are how long this controller waits for the others. One that is short
-// of processor time falls silent for seconds when work comes at once; were it
-// taken for dead, taking over from it would be the next such work, and so on.
+// timeouts are the timeouts for other controllers. A controller that is short of
+// processor time may not respond for seconds during a burst of work. If the others
+// took it for failed, taking over its machines would be another burst of work for
+// them, and so the failure would cascade.
 type timeouts struct {
-	leaderTTL        time.Duration // of the leader's lease, renewed four times within it to survive a lost request
-	heartbeatTimeout time.Duration // of one heartbeat to a peer
-	livenessTimeout  time.Duration // after which a peer does not count as heard from
-	removalTimeout   time.Duration // of silence, after which a member is removed
+	leaderTTL        time.Duration // of the leader lease, which is renewed four times within it so that one lost request does no harm
+	heartbeatTimeout time.Duration // for the response to one heartbeat to a peer
+	livenessTimeout  time.Duration // without heartbeats, after which a peer no longer counts as live
+	removalTimeout   time.Duration // without heartbeats, after which a member is removed
 }
 
 func newTimeouts(slowness float64) timeouts {
--- a/internal/cluster/ownership.go
+++ b/internal/cluster/ownership.go
@@ -9,38 +9,40 @@
 	"heronwick/wire"
 )
 
-// ownerPrefix is the prefix of the transfers' keys.
+// ownerPrefix is the key prefix of transfers.
 const ownerPrefix = prefix + "owner/"
 
-// Transfer is the value of a key that gives machines to a member, written once by
-// the owner of the machines. A machine belongs to the member that the newest
-// transfer with its name gives it to; a machine that no transfer names, or whose
-// owner's membership is over, is the leader's. Many machines in one value make a
-// change of owner of hundreds a few changes of the store.
+// Transfer is the value of a key that assigns machines to a member. The current owner
+// of the machines writes it once. A machine belongs to the new owner in the newest
+// transfer that lists the machine. It belongs to the leader if no transfer lists it
+// or the membership of its owner has ended. A transfer lists many machines so that
+// transferring hundreds of machines takes only a few writes to the store.
 type Transfer struct {
-	Node  string `json:"node"`  // the new owner; "": the machines are gone for good
-	Since uint64 `json:"since"` // of the new owner's membership
-	Token uint64 `json:"token"` // of the epoch under which it was written
-	// Machines holds, by name, the record of each machine from its owner before.
+	Node  string `json:"node"`  // the new owner; "" means that the machines were returned to the cloud
+	Since uint64 `json:"since"` // Member.Since of the new owner
+	Token uint64 `json:"token"` // of the epoch under which the transfer was written
+	// Machines maps the name of each machine to its record from the previous owner.
 	Machines map[string]json.RawMessage `json:"machines,omitempty"`
-	// Machine is set in the earlier form, whose key names the one machine.
+	// Machine is the record of a transfer in the old format, which covers a single
+	// machine, named in the key.
 	Machine json.RawMessage `json:"machine,omitempty"`
 }
 
-// Owner is the owner of a machine, by the newest transfer that names it: it alone
-// answers its worker and places tasks on it.
+// Owner is the owner of a machine according to the newest transfer that lists it.
+// Only the owner answers heartbeats of the machine's worker and places tasks on the
+// machine.
 type Owner struct {
 	Node    string
-	Since   uint64          // of the owner's membership
-	Machine json.RawMessage // the machine's record from its owner before
-	Version uint64          // of the transfer
-	key     string          // of the transfer
+	Since   uint64          // Member.Since of the owner
+	Machine json.RawMessage // record of the machine from the previous owner
+	Version uint64          // version of the transfer's key
+	key     string          // key of the transfer
 }
 
 // Released reports whether the machine was returned to the cloud.
 func (o Owner) Released() bool { return o.Node == "" && o.Version > 0 }
 
-// memberIn reports whether the owner's membership is one of an epoch.
+// memberIn reports whether the owner's membership is part of an epoch.
 func (o Owner) memberIn(epoch *Epoch) bool {
 	return o.Since != 0 && epoch.Members[o.Node].Since == o.Since
 }
@@ -51,8 +53,8 @@
 	version uint64
 }
 
-// applyTransferLocked applies the value of a transfer's key. Keys of other kinds
-// and values older than the known one are ignored.
+// applyTransferLocked applies the value of a transfer's key. It ignores keys that are
+// not transfers and values that are not newer than the known value.
 func (c *Cluster) applyTransferLocked(key string, value json.RawMessage, version uint64) {
 	name, ok := strings.CutPrefix(key, ownerPrefix)
 	if !ok || c.transfers[key].version >= version {
@@ -68,8 +70,8 @@
 	c.addTransferLocked(key, t)
 }
 
-// addTransferLocked adds a transfer, which becomes the owner record of the
-// machines that no newer one names.
+// addTransferLocked adds a transfer. It determines the owner of those of its machines
+// that are not listed in a newer transfer.
 func (c *Cluster) addTransferLocked(key string, t transfer) {
 	c.transfers[key] = t
 	for machine, record := range t.Machines {
@@ -79,8 +81,9 @@
 	}
 }
 
-// removeTransferLocked applies the removal of a transfer. One is removed only once
-// no older one names its machines, so no older owner comes back.
+// removeTransferLocked applies the removal of a transfer. The newest transfer of a
+// machine is removed only after all older ones, so the removal does not restore an
+// earlier owner.
 func (c *Cluster) removeTransferLocked(key string) {
 	for machine := range c.transfers[key].Machines {
 		if c.owners[machine].key == key {
@@ -90,17 +93,19 @@
 	delete(c.transfers, key)
 }
 
-// ownerIsMemberLocked reports whether the owner is a member of the current epoch.
+// ownerIsMemberLocked reports whether the owner's membership is part of the current
+// epoch.
 func (c *Cluster) ownerIsMemberLocked(o Owner) bool { return o.memberIn(&c.epoch) }
 
-// Ownership is what a controller knows of the owners of machines, as of one moment.
+// Ownership is a consistent snapshot of the owners of machines as known to a
+// controller.
 type Ownership struct {
 	Owned   map[string]Owner // the machines that this controller owns, by name
-	Orphans []string         // names of the machines whose owner is no member
-	Fresh   bool             // every transfer of an older epoch has been seen
+	Orphans []string         // names of the machines whose owner is no longer a member
+	Fresh   bool             // includes every transfer that was written under an older epoch
 }
 
-// Ownership returns what this controller knows of the owners of machines.
+// Ownership returns a snapshot of the known owners of machines.
 func (c *Cluster) Ownership() Ownership {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,17 +122,17 @@
 	return ownership
 }
 
-// OwnerOf returns a machine's owner, member or not; named reports whether any
-// transfer names the machine.
-func (c *Cluster) OwnerOf(machine string) (o Owner, named bool) {
+// OwnerOf returns the owner of a machine, even if its membership has ended. listed
+// reports whether any transfer lists the machine.
+func (c *Cluster) OwnerOf(machine string) (o Owner, listed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	o, named = c.owners[machine]
-	return o, named
+	o, listed = c.owners[machine]
+	return o, listed
 }
 
-// OwnerInEpoch returns the member that owns a machine in an epoch; one without an owner
-// is the leader's.
+// OwnerInEpoch returns the member that owns a machine in an epoch. Machines whose
+// owner is not a member of that epoch belong to its leader.
 func (c *Cluster) OwnerInEpoch(epoch *Epoch, machine string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,7 +142,8 @@
 	return epoch.Leader
 }
 
-// Fresh reports whether every transfer of an older epoch has been seen.
+// Fresh reports whether this controller knows every transfer that was written under
+// an older epoch.
 func (c *Cluster) Fresh() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,17 +152,17 @@
 
 func (c *Cluster) freshLocked() bool { return c.revision >= c.version }
 
-// TransferWrite is the write of a transfer to the store. It must also be
-// conditional on the epoch: under one epoch only the current owner of a machine
-// transfers it.
+// TransferWrite is the write of a transfer to the store. The caller must also make it
+// conditional on the epoch, so that only the current owner of a machine in that
+// epoch can transfer the machine.
 type TransferWrite struct {
-	Condition wire.Condition // holds while the transfer's key does not exist
+	Condition wire.Condition // the key of the transfer does not exist yet
 	Change    wire.Change    // puts the transfer
 }
 
-// NewTransfer returns the write that makes node the owner of machines, given by
-// name with their records, or, with node "", marks them as gone for good; ok is
-// false if the node is no member.
+// NewTransfer returns the write that makes node the owner of machines, a map from
+// their names to their records. If node is "", the write marks the machines as
+// returned to the cloud. ok is false if the node is not a member.
 func (c *Cluster) NewTransfer(node string, machines map[string]json.RawMessage) (write TransferWrite, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -174,8 +180,8 @@
 	return TransferWrite{Condition: wire.Condition{Key: key}, Change: wire.Change{Put: key, Value: value}}, true
 }
 
-// RecordTransfer applies a transfer that was written at a version, before the watch
-// brings it.
+// RecordTransfer applies a transfer that this controller has written, without waiting
+// for the watch to deliver it. version is the version that the write got.
 func (c *Cluster) RecordTransfer(change wire.Change, version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/peerload.go
+++ b/internal/cluster/peerload.go
@@ -2,8 +2,8 @@
 
 import "heronwick/internal/cluster/peerpb"
 
-// memberStatusesLocked returns the last status of each peer that is a member,
-// whether it was heard from lately or not.
+// memberStatusesLocked returns the last status of each peer that is a member, even if
+// the peer is not live.
 func (c *Cluster) memberStatusesLocked() []*peerpb.Status {
 	var statuses []*peerpb.Status
 	for node, p := range c.peers {
@@ -16,15 +16,15 @@
 
 func (c *Cluster) nodeIsMemberLocked(node string) bool { return c.epoch.Members[node].Since != 0 }
 
-// PeerCapacity is what the machines of the other members have together.
+// PeerCapacity is the total capacity of the machines of the other members.
 type PeerCapacity struct {
 	Machines int
-	CPUs     float64 // used or not
+	CPUs     float64 // all CPUs, including those in use
 	FreeCPUs float64
 }
 
-// PeerCapacity returns what the machines of the other members have together, by
-// the last status of each.
+// PeerCapacity returns the total capacity of the machines of the other members
+// according to their last statuses.
 func (c *Cluster) PeerCapacity() PeerCapacity {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -37,8 +37,8 @@
 	return capacity
 }
 
-// IdleMachines returns how many idle machines another controller has, 0 if its status is
-// not known.
+// IdleMachines returns the number of idle machines of another controller, or 0 if its
+// status is not known.
 func (c *Cluster) IdleMachines(node string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,11 +51,10 @@
 // PeerLoad is the load of another member.
 type PeerLoad struct {
 	Machines   int
-	Overloaded bool // it was short of processor time lately
+	Overloaded bool // it was recently short of processor time
 }
 
-// PeerLoads returns the loads of the other members that were heard from lately,
-// by node.
+// PeerLoads returns the loads of the other members that are live, by node.
 func (c *Cluster) PeerLoads() map[string]PeerLoad {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,8 +67,8 @@
 	return loads
 }
 
-// PeerUnplacedTasks returns the tasks for which the other members' machines have no
-// room.
+// PeerUnplacedTasks returns the numbers of tasks, by job, that the other live members
+// cannot place because their machines have no room.
 func (c *Cluster) PeerUnplacedTasks() []*peerpb.Want {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,16 +81,16 @@
 	return wants
 }
 
-// MaxWorkersHeardByPeer returns the largest number of workers that lately sent their
-// heartbeats to one peer instead of the leader.
+// MaxWorkersHeardByPeer returns the largest number of workers, over the live peers,
+// that recently sent their heartbeats to the peer instead of the leader.
 func (c *Cluster) MaxWorkersHeardByPeer() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.maxWorkersHeardByPeerLocked(nil)
 }
 
-// maxWorkersHeardByPeerLocked returns the largest number of workers that lately sent
-// their heartbeats to one peer other than the given one.
+// maxWorkersHeardByPeerLocked is like MaxWorkersHeardByPeer, but does not count the
+// peer except, which may be nil.
 func (c *Cluster) maxWorkersHeardByPeerLocked(except *peer) int {
 	most := 0
 	for _, p := range c.livePeersLocked() {
@@ -102,7 +101,8 @@
 	return most
 }
 
-// PeersReachingStore returns the peers that lately reached the store.
+// PeersReachingStore returns the names of the live peers that recently reached the
+// store directly.
 func (c *Cluster) PeersReachingStore() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,14 +115,14 @@
 	return nodes
 }
 
-// LivePeerCount counts the peers that were heard from lately.
+// LivePeerCount returns the number of live peers.
 func (c *Cluster) LivePeerCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.livePeersLocked())
 }
 
-// LivePeerStatuses returns the status of each peer that was heard from lately.
+// LivePeerStatuses returns the last status of each live peer.
 func (c *Cluster) LivePeerStatuses() []*peerpb.Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -9,50 +9,51 @@
 )
 
 const (
-	// directHealthyWindow is how lately this controller must have reached the
-	// store by itself for peers to send requests through it.
+	// directHealthyWindow is how recently this controller must have reached the store
+	// directly for peers to send their requests through it.
 	directHealthyWindow = 2 * time.Second
-	// workerHeartbeatWindow is how long a worker's heartbeat counts for
-	// MaxWorkersHeardByPeer.
+	// workerHeartbeatWindow is how long a worker counts as heard, see
+	// MaxWorkersHeardByPeer, after its last heartbeat.
 	workerHeartbeatWindow = 5 * time.Second
-	// isolationSlack is how much longer than the leader's lease a controller must
-	// be cut off before it counts as isolated.
+	// isolationSlack is how much longer than the leader lease a controller must have
+	// received nothing from its peers before it counts as isolated.
 	isolationSlack = 5 * time.Second
 )
 
-// peer is what this controller knows of another one.
+// peer is the known state of another controller.
 type peer struct {
 	node          string
 	client        PeerClient
-	lastSeen      time.Time      // when its last heartbeat or answer came
-	status        *peerpb.Status // as last received; nil: none yet
+	lastSeen      time.Time      // when its last heartbeat or response was received
+	status        *peerpb.Status // last received status; nil until the first one
 	incarnation   uint64
-	token         uint64       // highest epoch token that it has said it knows
-	level         FeatureLevel // that its version supports
-	stateOK       bool         // it lately reached the store by itself
-	workersHeard  uint32       // that lately sent it heartbeats instead of the leader
-	confirmedAt   time.Time    // when the last request was sent to which it knew no newer epoch
-	excludedUntil time.Time    // it may not join before then
+	token         uint64       // highest epoch token that it has reported
+	level         FeatureLevel // highest feature level that its version supports
+	stateOK       bool         // whether it recently reached the store directly
+	workersHeard  uint32       // number of workers that recently sent heartbeats to it instead of the leader
+	confirmedAt   time.Time    // when the last heartbeat was sent in response to which it knew no newer epoch
+	excludedUntil time.Time    // until then it may not become a member
 	replication   replicationQueue
 }
 
-// PeerClient is the part of a peer's gRPC interface that this package calls:
-// heartbeats, and the replication of cancellations before they are confirmed.
+// PeerClient is the part of a peer's gRPC interface that this package calls: it
+// exchanges heartbeats and replicates cancellations before they are confirmed to
+// users.
 type PeerClient interface {
-	Heartbeat(ctx context.Context, mine *peerpb.Status) (*peerpb.Status, error)
+	Heartbeat(ctx context.Context, ownStatus *peerpb.Status) (*peerpb.Status, error)
 	ReplicateCancellations(ctx context.Context, req *peerpb.TellRequest) (*peerpb.TellReply, error)
 }
 
-// RecordWorkerHeartbeat records that a worker sent its heartbeat here although
-// another controller leads.
+// RecordWorkerHeartbeat records that a worker sent its heartbeat to this controller
+// although another controller is the leader.
 func (c *Cluster) RecordWorkerHeartbeat(machine string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.workersHeard[machine] = time.Now()
 }
 
-// livePeersLocked returns the peers that were heard from lately. Their status is
-// not nil.
+// livePeersLocked returns the peers whose last heartbeat or response is not older than
+// livenessTimeout. Their statuses are not nil.
 func (c *Cluster) livePeersLocked() []*peer {
 	var heard []*peer
 	for _, p := range c.peers {
@@ -63,8 +64,9 @@
 	return heard
 }
 
-// Isolated reports whether this controller is no member and has been cut off from
-// all others for longer than it takes to become the leader if they have ended.
+// Isolated reports whether this controller is not a member and has received nothing
+// from its peers for so long that it would have become the leader if all of them
+// had failed.
 func (c *Cluster) Isolated() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,39 +79,40 @@
 	return len(c.peers) > 0 && !c.isMemberLocked() && time.Since(c.startedAt) > isolatedAfter
 }
 
-// HandleHeartbeat answers a peer's heartbeat with this controller's status.
-func (c *Cluster) HandleHeartbeat(theirs *peerpb.Status) *peerpb.Status {
-	if c.recordHeartbeat(theirs) {
+// HandleHeartbeat processes a heartbeat of a peer and returns this controller's
+// status.
+func (c *Cluster) HandleHeartbeat(peerStatus *peerpb.Status) *peerpb.Status {
+	if c.recordHeartbeat(peerStatus) {
 		c.triggerElectionRound()
 	}
-	if len(theirs.Progress) > 0 && c.opts.OnProgress != nil {
-		c.opts.OnProgress(theirs.Progress)
+	if len(peerStatus.Progress) > 0 && c.opts.OnProgress != nil {
+		c.opts.OnProgress(peerStatus.Progress)
 	}
-	return c.status(theirs.JobsRevision)
+	return c.status(peerStatus.JobsRevision)
 }
 
-// recordHeartbeat records a heartbeat that a peer sent and reports whether the
-// peer knows a newer epoch.
-func (c *Cluster) recordHeartbeat(theirs *peerpb.Status) (outdated bool) {
+// recordHeartbeat records a heartbeat from a peer and reports whether the peer knows
+// a newer epoch.
+func (c *Cluster) recordHeartbeat(peerStatus *peerpb.Status) (outdated bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if p := c.peers[theirs.Node]; p != nil {
-		c.recordStatusLocked(p, theirs)
+	if p := c.peers[peerStatus.Node]; p != nil {
+		c.recordStatusLocked(p, peerStatus)
 	}
-	return theirs.Token > c.epoch.Token
+	return peerStatus.Token > c.epoch.Token
 }
 
-// recordStatusLocked records a peer's status.
-func (c *Cluster) recordStatusLocked(p *peer, theirs *peerpb.Status) {
-	p.lastSeen, p.status = time.Now(), theirs
-	p.incarnation, p.token = theirs.Incarnation, theirs.Token
-	p.level = FeatureLevel(theirs.FeatureLevel)
-	p.stateOK, p.workersHeard = theirs.StateOk, theirs.WorkersHeard
+// recordStatusLocked records the status that a peer has sent.
+func (c *Cluster) recordStatusLocked(p *peer, peerStatus *peerpb.Status) {
+	p.lastSeen, p.status = time.Now(), peerStatus
+	p.incarnation, p.token = peerStatus.Incarnation, peerStatus.Token
+	p.level = FeatureLevel(peerStatus.FeatureLevel)
+	p.stateOK, p.workersHeard = peerStatus.StateOk, peerStatus.WorkersHeard
 	c.recordAckLocked(p)
 }
 
-// status returns this controller's status, with the cancellations that it knows
-// after a revision of the store.
+// status returns this controller's status, including the known cancellations after a
+// revision of the store.
 func (c *Cluster) status(after uint64) *peerpb.Status {
 	s := &peerpb.Status{Node: c.opts.Node, Incarnation: c.incarnation, FeatureLevel: uint32(supportedLevel),
 		StateOk: c.opts.Transport.DirectHealthy(directHealthyWindow)}
@@ -136,8 +139,7 @@
 	}
 }
 
-// runHeartbeats exchanges status with one peer every heartbeat interval until ctx
-// ends.
+// runHeartbeats exchanges statuses with a peer every heartbeatInterval until ctx ends.
 func (c *Cluster) runHeartbeats(ctx context.Context, p *peer) error {
 	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
@@ -151,49 +153,50 @@
 	}
 }
 
-// exchangeStatus sends one heartbeat to a peer and takes its answer.
+// exchangeStatus sends one heartbeat to a peer and processes the response.
 func (c *Cluster) exchangeStatus(ctx context.Context, p *peer) {
-	mine := c.status(math.MaxUint64)
+	ownStatus := c.status(math.MaxUint64)
 	if c.opts.Progress != nil {
-		mine.Progress = c.opts.Progress()
+		ownStatus.Progress = c.opts.Progress()
 	}
 	sent := time.Now()
-	theirs, err := c.sendHeartbeat(ctx, p, mine)
+	peerStatus, err := c.sendHeartbeat(ctx, p, ownStatus)
 	if err != nil {
-		c.opts.Log.Debug("heartbeat to peer failed", "peer", p.node, "err", err)
+		c.opts.Log.Debug("failed to send a heartbeat to a peer", "peer", p.node, "err", err)
 		return
 	}
-	c.opts.Cancellations.ApplyCancellations(decodeCancellations(theirs.Cancelled))
-	if c.recordHeartbeatResponse(p, mine, theirs, sent) {
+	c.opts.Cancellations.ApplyCancellations(decodeCancellations(peerStatus.Cancelled))
+	if c.recordHeartbeatResponse(p, ownStatus, peerStatus, sent) {
 		c.triggerElectionRound()
 	}
-	if mine.JobsRead && theirs.JobsBase > mine.JobsRevision {
-		if err := c.opts.Cancellations.SyncToRevision(ctx, theirs.JobsBase); err != nil {
-			c.opts.Log.Debug("reading what a peer cannot name failed", "peer", p.node, "err", err)
+	if ownStatus.JobsRead && peerStatus.JobsBase > ownStatus.JobsRevision {
+		if err := c.opts.Cancellations.SyncToRevision(ctx, peerStatus.JobsBase); err != nil {
+			c.opts.Log.Debug("failed to read the cancellations that a peer no longer keeps", "peer", p.node, "err", err)
 		}
 	}
 }
 
-func (c *Cluster) sendHeartbeat(ctx context.Context, p *peer, mine *peerpb.Status) (*peerpb.Status, error) {
+func (c *Cluster) sendHeartbeat(ctx context.Context, p *peer, ownStatus *peerpb.Status) (*peerpb.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeouts.heartbeatTimeout)
 	defer cancel()
-	return p.client.Heartbeat(ctx, mine)
+	return p.client.Heartbeat(ctx, ownStatus)
 }
 
-// recordHeartbeatResponse records a peer's answer to a heartbeat that was sent at a time and
-// reports whether the peer knows a newer epoch. The answers of a majority that
-// know no newer one confirm ours: in an outage of the store that is what keeps
-// workers' leases.
-func (c *Cluster) recordHeartbeatResponse(p *peer, mine, theirs *peerpb.Status, sent time.Time) (outdated bool) {
-	// What the peer cannot name, since it restarted or forgot, must be known here
-	// already: else its answer says nothing of cancellations.
-	knowsCancellations := mine.JobsRead && theirs.JobsRead && theirs.JobsBase <= mine.JobsRevision
+// recordHeartbeatResponse records a peer's response to a heartbeat from the time sent
+// and reports whether the peer knows a newer epoch. Responses of a majority that
+// knows no newer epoch confirm the current one. During an outage of the store, only
+// these confirmations allow the controllers to renew the workers' leases.
+func (c *Cluster) recordHeartbeatResponse(p *peer, ownStatus, peerStatus *peerpb.Status, sent time.Time) (outdated bool) {
+	// The response lists the peer's known cancellations only after JobsBase. Older
+	// ones, which the peer has dropped or lost in a restart, must already be known
+	// here; otherwise the response does not show that all cancellations are known.
+	knowsCancellations := ownStatus.JobsRead && peerStatus.JobsRead && peerStatus.JobsBase <= ownStatus.JobsRevision
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.recordStatusLocked(p, theirs)
-	if knowsCancellations && theirs.Token > 0 && theirs.Token <= c.epoch.Token {
+	c.recordStatusLocked(p, peerStatus)
+	if knowsCancellations && peerStatus.Token > 0 && peerStatus.Token <= c.epoch.Token {
 		p.confirmedAt = sent
 		c.confirmByMajorityLocked()
 	}
-	return theirs.Token > c.epoch.Token
+	return peerStatus.Token > c.epoch.Token
 }
--- a/internal/cluster/replicate.go
+++ b/internal/cluster/replicate.go
@@ -10,55 +10,61 @@
 	"heronwick/wire"
 )
 
-// Cancellations is what this controller knows of cancelled jobs. A controller
-// that does not know of one may renew the leases of the job's workers for as long
-// as its confirmation TTL lasts; so no confirmation counts without the known
-// cancellations, see docs/design.md, "Cancelled means known".
+// Cancellations holds the cancelled jobs that this controller knows. A controller
+// that does not know of a cancellation may renew the leases of the job's workers
+// until its confirmation TTL expires. Therefore an epoch confirmation counts only
+// together with all known cancellations; see docs/design.md, "Cancelled means
+// known".
 type Cancellations interface {
-	// KnownCancellations returns what is known, and names those after a revision.
+	// KnownCancellations returns the state of the known cancellations, including a
+	// list of those after a revision of the store.
 	KnownCancellations(after uint64) job.CancellationState
-	// ApplyCancellations takes cancellations that a peer knows.
+	// ApplyCancellations adds cancellations that a peer has sent.
 	ApplyCancellations(cancelled []job.Cancellation)
-	// SyncToRevision makes every cancellation up to a revision of the store known.
+	// SyncToRevision ensures that every cancellation up to a revision of the store is
+	// known, and reads the store if necessary.
 	SyncToRevision(ctx context.Context, revision uint64) error
 }
 
 const (
-	// replicationTimeout bounds one request to a peer; users wait for it.
+	// replicationTimeout is the timeout of one request to a peer. It is short because
+	// users wait for the result.
 	replicationTimeout = 500 * time.Millisecond
-	// replicationGrace is how long a confirmation waits for the peers beyond those
-	// that it needs: none that knows of it starts any task of the job.
+	// replicationGrace is how long Replicate waits for further peers after enough of
+	// them have acknowledged: a peer that knows the cancellation starts no more tasks
+	// of the job.
 	replicationGrace = 100 * time.Millisecond
 )
 
 // errNotReplicated means that too few peers acknowledged a cancellation.
 var errNotReplicated = errors.New("too few controllers can be told")
 
-// HandleCancellations takes cancellations that a peer is about to confirm.
+// HandleCancellations applies cancellations that a peer is about to confirm to users.
 func (c *Cluster) HandleCancellations(req *peerpb.TellRequest) *peerpb.TellReply {
 	c.opts.Cancellations.ApplyCancellations(decodeCancellations(req.Cancelled))
 	return &peerpb.TellReply{}
 }
 
-// Replicate implements job.Replicator: it returns nil once enough controllers
-// know the cancellation. The error is that of ctx, or says that too few do.
+// Replicate implements job.Replicator: it returns nil once enough controllers know
+// the cancellation. The error is that of ctx, or errNotReplicated if too few peers
+// acknowledged.
 func (c *Cluster) Replicate(ctx context.Context, cancellation job.Cancellation) error {
 	r := c.startReplication(cancellation)
 	if err := r.wait(ctx); err != nil {
 		return err
 	}
 	if r.needed > 0 {
-		c.opts.Log.Info("cancellation not confirmed: too few controllers acknowledged it", "job", cancellation.Job, "lacking", r.needed)
+		c.opts.Log.Info("cancellation not confirmed: too few controllers acknowledged it", "job", cancellation.Job, "missing", r.needed)
 		return errNotReplicated
 	}
 	return nil
 }
 
-// replication is a cancellation on its way to the peers.
+// replication tracks the requests that send one cancellation to the peers.
 type replication struct {
-	needed  int        // acknowledgements still needed; 0 or less: enough
-	pending int        // peers that have not answered
-	answers chan error // one from each of them; nil: acknowledged
+	needed  int        // number of acknowledgements still needed; enough if 0 or less
+	pending int        // number of peers that have not answered
+	answers chan error // one result from each pending peer; nil means acknowledged
 }
 
 // startReplication sends a cancellation to the peers that may not know it.
@@ -68,8 +74,9 @@
 	r := &replication{needed: c.replicasNeededLocked()}
 	var targets []*peer
 	for _, p := range c.peers {
-		// A peer that has reported this revision knows it, or has restarted since
-		// and reports that it must not be asked about what came before.
+		// A peer that has reported this revision knows the cancellation. If it has
+		// restarted since, it reports through JobsBase that it no longer lists
+		// earlier cancellations, so its responses alone do not confirm an epoch.
 		if p.status != nil && p.status.JobsRevision >= cancellation.Revision {
 			r.needed--
 		} else {
@@ -86,8 +93,8 @@
 	return r
 }
 
-// wait waits until every peer has answered or, once enough have acknowledged, for
-// replicationGrace. The error is that of ctx.
+// wait returns when every peer has answered, or replicationGrace after enough peers
+// have acknowledged. The error is that of ctx.
 func (r *replication) wait(ctx context.Context) error {
 	var grace <-chan time.Time
 	for ; r.pending > 0; r.pending-- {
@@ -110,10 +117,11 @@
 	return nil
 }
 
-// replicasNeededLocked returns how many peers must know a cancellation before it
-// is confirmed: so many that any majority that confirms an epoch includes a
-// controller that knows it. Where the confirmation TTL leaves no time for a lease
-// expiry before the cancellation deadline, all must.
+// replicasNeededLocked returns the number of peers that must know a cancellation
+// before it is confirmed to users. It is chosen so that every majority that can
+// confirm an epoch includes a controller that knows the cancellation. All peers
+// must know it if a lease cannot expire within CancelTimeout after the confirmation
+// TTL.
 func (c *Cluster) replicasNeededLocked() int {
 	controllers := len(c.peers) + 1
 	if !c.expiryFitsCancelTimeout {
@@ -123,21 +131,23 @@
 	return controllers - majority
 }
 
-// soleMemberLocked reports whether all machines are this controller's and no
-// other one is a member: the others may have ended, and it stops the tasks itself.
+// soleMemberLocked reports whether this controller is the only member and may answer
+// heartbeats. It then owns all machines and stops the job's tasks itself, so it need
+// not wait for the other controllers, which may have failed.
 func (c *Cluster) soleMemberLocked() bool {
 	return c.isLeaderLocked() && c.canAnswerHeartbeatsLocked() && len(c.epoch.Members) == 1
 }
 
-// replicationQueue holds the cancellations that are still to be sent to a peer.
+// replicationQueue holds the cancellations that have not been sent to a peer yet.
 type replicationQueue struct {
 	cancelled []*peerpb.Cancelled
-	answers   []chan<- error // one for each of them
-	sending   bool           // sendReplications runs
+	answers   []chan<- error // receives the result, one channel for each cancellation
+	sending   bool           // whether sendReplications is running
 }
 
-// queueReplicationLocked sends a cancellation to a peer, together with others
-// that are queued meanwhile.
+// queueReplicationLocked queues a cancellation for a peer and starts sending if
+// necessary. Cancellations that are queued during a request are sent together in the
+// next one.
 func (c *Cluster) queueReplicationLocked(p *peer, cancelled *peerpb.Cancelled, answer chan<- error) {
 	queue := &p.replication
 	queue.cancelled, queue.answers = append(queue.cancelled, cancelled), append(queue.answers, answer)
@@ -147,7 +157,7 @@
 	}
 }
 
-// sendReplications sends what is queued for a peer until its queue is empty.
+// sendReplications sends the queued cancellations to a peer until the queue is empty.
 func (c *Cluster) sendReplications(p *peer) {
 	for {
 		queue := c.dequeueReplications(p)
@@ -161,7 +171,7 @@
 	}
 }
 
-// dequeueReplications empties a peer's queue and returns what it held.
+// dequeueReplications empties the queue of a peer and returns its previous content.
 func (c *Cluster) dequeueReplications(p *peer) replicationQueue {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/transfercleanup.go
+++ b/internal/cluster/transfercleanup.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	// transferCleanupInterval is how often the leader looks for transfers to
-	// remove.
+	// transferCleanupInterval is the interval at which the leader removes obsolete
+	// transfers.
 	transferCleanupInterval = 10 * time.Second
-	// maxRemovalsPerTxn bounds the removals in one transaction; it need not be quick.
+	// maxRemovalsPerTxn is the maximum number of removals in one transaction. It is
+	// small because the cleanup is not urgent.
 	maxRemovalsPerTxn = 8
-	// maxObsoleteTransfers is how many settled transfers of the current epoch may
-	// stand before the leader raises the token so that it can remove them.
+	// maxObsoleteTransfers is the number of obsolete transfers of the current epoch
+	// above which the leader advances the epoch so that it can remove them.
 	maxObsoleteTransfers = 200
 )
 
-// runTransferCleanup removes settled transfers now and then until ctx ends. It is
-// apart from what keeps the leader's lease, since it waits behind everything else
-// for the store's limits.
+// runTransferCleanup removes obsolete transfers periodically until ctx ends. It runs
+// separately from runElection, which renews the leader lease, because its requests
+// have the lowest priority under the store's rate limits and may wait for long.
 func (c *Cluster) runTransferCleanup(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait.Sleep(ctx, transferCleanupInterval)
@@ -32,14 +33,14 @@
 	return nil
 }
 
-// removeObsoleteTransfers removes some transfers that decide nothing any more. A
-// late copy of a transfer would bring it back as the newest one, so one is
-// removed only under a later epoch than its own: the copy then fails. Only the
-// leader removes any.
+// removeObsoleteTransfers removes some of the obsolete transfers. It does so only on
+// the leader, and only for transfers of older epochs: a delayed duplicate of the
+// request that wrote a transfer would otherwise write it again, as the newest one.
+// In a later epoch the condition of that request fails.
 func (c *Cluster) removeObsoleteTransfers(ctx context.Context) {
 	guard, err := c.cleanupConditions()
 	if err != nil {
-		return // the controller that may remove them does
+		return // another controller may remove them and will do so
 	}
 	obsolete, ok := c.obsoleteTransfers()
 	if !ok {
@@ -47,7 +48,7 @@
 	}
 	if obsolete.inCurrentEpoch > maxObsoleteTransfers {
 		if err := c.AdvanceEpoch(ctx); err != nil {
-			c.opts.Log.Debug("raising the token failed", "err", err)
+			c.opts.Log.Debug("failed to advance the epoch", "err", err)
 		}
 		return
 	}
@@ -56,8 +57,8 @@
 	}
 }
 
-// cleanupConditions returns the conditions of the removal of records besides the
-// epoch.
+// cleanupConditions returns the conditions, in addition to the epoch, under which
+// records may be removed.
 func (c *Cluster) cleanupConditions() ([]wire.Condition, error) {
 	if c.opts.CleanupConditions == nil {
 		return nil, nil
@@ -65,15 +66,16 @@
 	return c.opts.CleanupConditions()
 }
 
-// obsoleteTransfers are transfers that decide nothing any more, as of an epoch.
+// obsoleteTransfers are the transfers that no longer affect the owner of any machine
+// in an epoch.
 type obsoleteTransfers struct {
 	epoch          wire.Condition
-	removable      []wire.Condition // of older epochs, maxRemovalsPerTxn at most
-	inCurrentEpoch int              // not removable before the next epoch
+	removable      []wire.Condition // conditions on transfers of older epochs, at most maxRemovalsPerTxn
+	inCurrentEpoch int              // number of transfers that cannot be removed before the next epoch
 }
 
-// obsoleteTransfers finds the settled transfers; ok is false if this controller
-// does not lead or may not have seen every transfer.
+// obsoleteTransfers returns the obsolete transfers. ok is false if this controller is
+// not the leader or may not know every transfer yet.
 func (c *Cluster) obsoleteTransfers() (obsolete obsoleteTransfers, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,8 +96,8 @@
 	return obsolete, true
 }
 
-// oldestTransfersLocked returns, by machine, the version of the oldest transfer
-// that names it.
+// oldestTransfersLocked returns, by machine, the version of the oldest transfer that
+// lists the machine.
 func (c *Cluster) oldestTransfersLocked() map[string]uint64 {
 	oldest := map[string]uint64{}
 	for _, t := range c.transfers {
@@ -108,9 +110,10 @@
 	return oldest
 }
 
-// obsoleteLocked reports whether a transfer decides nothing any more: for each of
-// its machines there is a newer one, or the owner's membership is over and there
-// is no older one.
+// obsoleteLocked reports whether a transfer no longer affects the owner of any
+// machine. For each of its machines, there must be a newer transfer, or the owner's
+// membership must have ended and no older transfer may exist, because removing the
+// newest one would make an older one effective again.
 func (c *Cluster) obsoleteLocked(key string, t transfer, oldest map[string]uint64) bool {
 	for machine := range t.Machines {
 		owner := c.owners[machine]
@@ -122,6 +125,7 @@
 	return true
 }
 
+// removeTransfers removes the removable transfers in one transaction.
 func (c *Cluster) removeTransfers(ctx context.Context, guard []wire.Condition, obsolete obsoleteTransfers) {
 	txn := wire.Txn{If: append(guard, obsolete.epoch)}
 	for _, condition := range obsolete.removable {
@@ -132,9 +136,9 @@
 	var conflict *state.Conflict
 	if err != nil {
 		if !errors.As(err, &conflict) {
-			c.opts.Log.Debug("removing transfers failed", "err", err)
+			c.opts.Log.Debug("failed to remove obsolete transfers", "err", err)
 		}
-		return // the watch brings what stands
+		return // the watch delivers the current state
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/watch.go
+++ b/internal/cluster/watch.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// A failed list is retried after listRetry plus up to retryJitter, a failed
-	// watch after watchRetry plus up to retryJitter.
+	// Delays before the retry of a failed list and of a failed watch. A random delay
+	// of up to retryJitter is added to both.
 	listRetry   = 200 * time.Millisecond
 	watchRetry  = 100 * time.Millisecond
 	retryJitter = 200 * time.Millisecond
 )
 
-// watch follows the keys of this package until ctx ends: it lists them, and then
-// watches for as long as that works.
+// watch keeps the known state of the keys up to date until ctx ends: it lists them
+// and then watches for changes. After a failed watch it lists them again.
 func (c *Cluster) watch(ctx context.Context) error {
 	listed := false
 	for ctx.Err() == nil {
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// watchOnce waits for changes after the known revision and applies them.
+// watchOnce waits for events after the known revision and applies them.
 func (c *Cluster) watchOnce(ctx context.Context) error {
 	events, err := c.opts.Client.Watch(ctx, prefix, c.knownRevision(), state.WatchTimeout)
 	if err != nil {
@@ -61,7 +61,8 @@
 	return c.revision
 }
 
-// refresh lists the keys, perhaps before the watch brings their changes.
+// refresh lists the keys, so that changes are known that the watch has not delivered
+// yet.
 func (c *Cluster) refresh(ctx context.Context) error {
 	sent := time.Now()
 	keys, err := c.opts.Client.List(ctx, state.Urgent, prefix)
@@ -81,16 +82,16 @@
 	}
 }
 
-// listing is a list of the keys as of a revision.
+// listing is the result of a list request as of a revision of the store.
 type listing struct {
-	sent                time.Time // when it was requested
+	sent                time.Time // when the request was sent
 	items               []wire.Item
 	revision            uint64
-	cancellationsSynced bool // all cancellations up to the revision are known
+	cancellationsSynced bool // whether all cancellations up to the revision are known
 }
 
-// applyList applies a listing and returns true, or returns false if something
-// newer has been applied already.
+// applyList applies a listing. It reports whether it did: a listing that is older
+// than the known revision is ignored.
 func (c *Cluster) applyList(l listing) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,11 +112,12 @@
 	return true
 }
 
-// applyItemsLocked replaces what is known of the keys by a listing. What was
-// written while that was on its way is not in it, and the watch may bring it late:
-// such transfers are kept. Without them, a machine that had just been given away
-// had no owner, so it was taken again, and two controllers answered its worker
-// (ran_twice).
+// applyItemsLocked replaces the known state of the keys by a listing, but keeps
+// transfers that are newer than the listing. Such a transfer was recorded while the
+// list request was in flight, and the watch may deliver it late. Without it, a
+// machine that had just been transferred would appear to have no owner, so its
+// previous owner would adopt it again and two controllers would answer its worker
+// (rule ran_twice).
 func (c *Cluster) applyItemsLocked(l listing) {
 	before := c.transfers
 	c.leaderVersion, c.leader = 0, leaderRecord{}
@@ -130,7 +132,7 @@
 	}
 }
 
-// applyEvents applies what a watch has brought, unless it is known already.
+// applyEvents applies the events of a watch unless a newer revision is already known.
 func (c *Cluster) applyEvents(events wire.Events) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,8 +155,8 @@
 	}
 }
 
-// applyKeyLocked applies a key's value. Values that cannot be decoded and an older
-// epoch are ignored.
+// applyKeyLocked applies the value of a key. Values that cannot be decoded and older
+// epochs are ignored.
 func (c *Cluster) applyKeyLocked(key string, value json.RawMessage, version uint64) {
 	switch key {
 	case epochKey:
@@ -163,7 +165,7 @@
 			return
 		}
 		if e.Token > c.epoch.Token {
-			c.opts.Log.Info("epoch", "token", e.Token, "leader", e.Leader)
+			c.opts.Log.Info("epoch changed", "token", e.Token, "leader", e.Leader)
 		}
 		c.setEpochLocked(e, version)
 	case leaderKey:
@@ -178,8 +180,8 @@
 	}
 }
 
-// setEpochLocked makes e the known epoch and ends this controller's membership if
-// e does not have it.
+// setEpochLocked makes e the known epoch and ends the current membership of this
+// controller if that is not part of e.
 func (c *Cluster) setEpochLocked(e Epoch, version uint64) {
 	wasMember, since := c.isMemberLocked(), c.epoch.Members[c.opts.Node].Since
 	sameSince := e.Members[c.opts.Node].Since == since
@@ -195,9 +197,10 @@
 	}
 }
 
-// resetConfirmationsLocked forgets what proves nothing about a newer epoch: what
-// peers said of the old one. A member that stays one keeps its own confirmation,
-// since nobody may answer its workers without its membership.
+// resetConfirmationsLocked discards what peers have reported about the old epoch,
+// because it proves nothing about a newer one. A controller that remains a member
+// keeps its own confirmation, because no other controller may answer its workers
+// before its membership ends.
 func (c *Cluster) resetConfirmationsLocked(staysMember bool) {
 	c.fence = fence{}
 	if !staysMember {
