--- a/internal/completion/table.go
+++ b/internal/completion/table.go
@@ -140,7 +140,7 @@
 	return successors
 }
 
-// clearReplaced empties the buckets whose successors have all been written.
+// clearReplaced empties the buckets whose successors have all been written or removed.
 func (t *Table) clearReplaced() {
 	for _, b := range t.buckets {
 		if b.successors == nil {
@@ -157,7 +157,8 @@
 
 // takePending returns the buckets that must be written even if none of their tasks was
 // completed: successors that are not yet in the store, and empty buckets that are in
-// the store. It removes all empty buckets from the table.
+// the store. It removes empty buckets from the table. Buckets with a write in flight
+// are left for a later flush.
 func (t *Table) takePending() (pending []*bucket) {
 	for key, b := range t.buckets {
 		switch {
--- a/internal/state/queue.go
+++ b/internal/state/queue.go
@@ -105,9 +105,9 @@
 
 // accepts reports whether the write may be added to the batch. A transaction must
 // have the same effect as its writes one after the other, so a write must wait if one
-// in the batch changes a key that it changes too or is conditional on. In one
-// transaction the conditions of both would be compared with the old value of the key:
-// a job was once both cancelled and done because of that.
+// in the batch changes a key that it changes too or is conditional on. In the same
+// transaction the conditions of both would be checked against the old version of the
+// key. Because of that, a job was once recorded as both cancelled and done.
 func (b *batchBuilder) accepts(w *queuedWrite) bool {
 	first := len(b.batch) == 0
 	if !first && (w.sendAlone || b.batch[0].sendAlone) {
--- a/internal/state/usage.go
+++ b/internal/state/usage.go
@@ -25,8 +25,8 @@
 }
 
 // TotalUsage returns the usage by all priorities since the previous call. Its
-// LongestWait includes requests that are still waiting. Waits of priorities for which
-// waitExpected is true count as zero.
+// LongestWait includes requests that are still waiting. Waits of Background requests,
+// and of priorities that may not use all writes, count as zero.
 func (b *Budget) TotalUsage() Usage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
