--- a/internal/detector/assessment.go
+++ b/internal/detector/assessment.go
@@ -6,7 +6,7 @@
 )
 
 // Assessment is a snapshot of all workers of the scheduler, against which each single
-// worker is assessed. It is valid while the scheduler holds its lock.
+// worker is assessed. It is valid only until the scheduler releases its lock.
 type Assessment struct {
 	// Reachable is the number of workers that do not count as unresponsive.
 	Reachable int
@@ -60,13 +60,13 @@
 // Dead reports whether a worker counts as dead. Such a worker sends no heartbeats and
 // answers no probes, and a partition is not the likely cause.
 func (a *Assessment) Dead(w *Worker) bool {
-	return a.detector.exceedsDeadThresholds(w, a.now) && a.mayJudgeSilence(w) && a.failedIndividually(w)
+	return a.detector.exceedsDeadThresholds(w, a.now) && a.silenceIsConclusive(w) && a.failedIndividually(w)
 }
 
-// mayJudgeSilence reports whether the silence of a worker may be taken for its failure.
+// silenceIsConclusive reports whether the silence of a worker may be taken as its failure.
 // While this controller is likely partitioned from many workers, their machines are kept
 // for as long as replacements would take to become ready.
-func (a *Assessment) mayJudgeSilence(w *Worker) bool {
+func (a *Assessment) silenceIsConclusive(w *Worker) bool {
 	return !a.partitioned || w.silence(a.now) > a.detector.partitionTimeout(w)
 }
 
--- a/internal/detector/detector.go
+++ b/internal/detector/detector.go
@@ -75,9 +75,9 @@
 	return w.silence(now) > d.SuspectAfter()
 }
 
-// DeadAfter returns after which silence a worker that does not answer probes either
-// counts as dead. A heartbeat is certainly missing by then. The machine is returned to
-// prove that its tasks are no longer running.
+// DeadAfter returns how long a worker must be silent to count as dead if it does not
+// answer probes either: by then, a heartbeat is certainly missing. The machine of a dead
+// worker is returned to prove that its tasks are no longer running.
 func (d *Detector) DeadAfter() time.Duration { return d.longestInterval() + lateHeartbeatAllowance }
 
 // ProbeDue reports whether the worker should be probed now, because it is silent or did
@@ -104,9 +104,9 @@
 	return d.SuspectAfter()
 }
 
-// probeReplicasAfter returns probeAfter for workers with service replicas. It is chosen
-// so that for a dead worker the required number of unanswered probes is reached at
-// DeadAfter.
+// probeReplicasAfter returns how long a worker with service replicas may be silent before
+// it is probed. For a dead worker, the last of the deadProbeThreshold probes then times
+// out when the silence reaches DeadAfter.
 func (d *Detector) probeReplicasAfter() time.Duration {
 	return d.DeadAfter() - deadProbeThreshold*ProbeTimeout
 }
--- a/internal/detector/worker.go
+++ b/internal/detector/worker.go
@@ -18,7 +18,7 @@
 
 	requestPending   bool      // a probe, or a command that carries a new fencing token, is in flight
 	lastProbe        time.Time // when the last probe was sent
-	failedProbes     int       // number of failed probes since the last news of the worker
+	failedProbes     int       // number of failed probes since the worker was last heard from
 	failingSince     time.Time // when the first of failedProbes was sent
 	unreachableSince time.Time // when direct requests began to fail; zero if the last one was answered
 	unansweredProbes int       // number of failed probes since a direct request was last answered
@@ -42,7 +42,7 @@
 	}
 }
 
-// MarkAlive records that news of the worker has arrived, by a heartbeat or an answer.
+// MarkAlive records that the worker was heard from, by any fresh heartbeat or answer.
 func (w *Worker) MarkAlive() { w.failedProbes = 0 }
 
 // MarkReachable records that a direct request was answered.
@@ -56,8 +56,8 @@
 	}
 }
 
-// Responsive reports whether no probe has failed since the last news of the worker, and
-// the last direct request was answered.
+// Responsive reports whether no probe has failed since the worker was last heard from,
+// and the last direct request was answered.
 func (w *Worker) Responsive() bool { return w.failedProbes == 0 && w.unreachableSince.IsZero() }
 
 // BeginRequest records that a direct request is being sent whose answer will show whether
@@ -78,7 +78,7 @@
 }
 
 // ProbeFailed records that the probe sent at the given time was not answered. It reports
-// whether it is the first failed probe since the last news of the worker.
+// whether it is the first failed probe since the worker was last heard from.
 func (w *Worker) ProbeFailed(sent time.Time) (first bool) {
 	w.failedProbes++
 	w.unansweredProbes++
--- a/internal/queue/order.go
+++ b/internal/queue/order.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// starvationFactor is how many times its longest objective a late job may wait
-// behind jobs of the same priority that can still finish in time.
+// starvationFactor is how many times its longest objective (or time to deadline, if
+// longer) a late job may wait behind jobs of the same priority that can still finish in
+// time.
 const starvationFactor = 10
 
 // MaxStartDelay is the time within which the tasks of any job must have started,
@@ -26,7 +27,7 @@
 const (
 	notStarted      urgency = iota // no task served for half of MaxStartDelay
 	underHalfServed                // less than half of its tasks served for three quarters of MaxStartDelay
-	starved                        // late, and waiting for more than starvationFactor times its longest objective
+	starved                        // late, and waiting for longer than starvationFactor allows
 	onTime                         // can still finish within its deadline or an objective
 	late
 )
--- a/internal/queue/tasks.go
+++ b/internal/queue/tasks.go
@@ -88,8 +88,8 @@
 	minFailedMachines = 2
 	// maxFailureBackoff caps the backoff of a job that fails everywhere.
 	maxFailureBackoff = 30 * time.Second
-	// maxBackoffDoublings caps how often the backoff is doubled, so that the shift
-	// cannot overflow.
+	// maxBackoffDoublings caps how often the backoff, which starts at one second, is
+	// doubled.
 	maxBackoffDoublings = 5
 )
 
