--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -11,7 +11,7 @@
 	"heronwick/wire"
 )
 
-// Keys in the key-value store that only this package writes.
+// Keys of this package in the key-value store.
 const (
 	prefix    = "cluster/"
 	epochKey  = prefix + "epoch"
--- a/internal/cluster/confirmation.go
+++ b/internal/cluster/confirmation.go
@@ -6,7 +6,7 @@
 )
 
 // minConfirmationTTL is the shortest useful confirmation TTL: a few heartbeat
-// intervals, so that one lost heartbeat does not let the confirmation expire.
+// intervals.
 const minConfirmationTTL = 2500 * time.Millisecond
 
 // leaseExpirySlack returns the time after the expiry of its lease within which a
--- a/internal/cluster/fencing.go
+++ b/internal/cluster/fencing.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// maxFenceRecords is the number of fence records that are kept. Records of older
-// epochs are kept because a machine that was adopted under an older epoch was
-// fenced at an earlier time.
+// maxFenceRecords is the maximum number of fence records that are kept. Older records
+// are kept so that FencedSince returns the earlier time for a machine that was
+// adopted under an older epoch.
 const maxFenceRecords = 64
 
 // clockDrift returns an upper bound of how far the clocks of two machines diverge
@@ -90,11 +90,11 @@
 }
 
 // provenAt returns the time from which no controller answers heartbeats under an
-// older epoch, or the zero time if that is not known yet. This is when all
-// controllers know the current epoch, or, if earlier, when the last confirmation of
-// an older epoch has expired. A majority can have given such a confirmation only
-// before it knew the current epoch, so it expires one confirmation TTL, plus clock
-// drift, after that.
+// older epoch, or the zero time if that is not known yet. It is the earlier of two
+// times: when all controllers know the current epoch, and when every confirmation
+// of an older epoch has expired. A majority confirms an older epoch only until a
+// majority knows the current one, so the last of these confirmations expires one
+// confirmation TTL plus clock drift later.
 func (f *fence) provenAt(confirmationTTL time.Duration) time.Time {
 	if f.majorityAt.IsZero() {
 		return f.allAt
--- a/internal/cluster/leadership.go
+++ b/internal/cluster/leadership.go
@@ -46,11 +46,11 @@
 	return false
 }
 
-// confirmAtRevision records that the store confirmed the epoch at a revision, in
-// response to a request from the time sent. The confirmation counts only once all
-// cancellations up to that revision are known, and the watch may not have delivered
-// them yet, so it syncs them first. It skips all of this if the peers have
-// confirmed the epoch recently.
+// confirmAtRevision handles a confirmation of the epoch by the store at a revision;
+// sent is when it was requested. The confirmation counts only if all cancellations
+// up to that revision are known. The watch may not have delivered them yet, so they
+// are read first. If the peers have confirmed the epoch recently, none of this is
+// necessary.
 func (c *Cluster) confirmAtRevision(ctx context.Context, sent time.Time, revision uint64) {
 	c.mu.Lock()
 	confirmedRecently := sent.Sub(c.confirmedAt) < c.confirmationTTL/3
--- a/internal/cluster/ownership.go
+++ b/internal/cluster/ownership.go
@@ -181,7 +181,7 @@
 }
 
 // RecordTransfer applies a transfer that this controller has written, without waiting
-// for the watch to deliver it. version is the version that the write got.
+// for the watch to deliver it. version is the version of the key after the write.
 func (c *Cluster) RecordTransfer(change wire.Change, version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -182,10 +182,10 @@
 	return p.client.Heartbeat(ctx, ownStatus)
 }
 
-// recordHeartbeatResponse records a peer's response to a heartbeat from the time sent
-// and reports whether the peer knows a newer epoch. Responses of a majority that
-// knows no newer epoch confirm the current one. During an outage of the store, only
-// these confirmations allow the controllers to renew the workers' leases.
+// recordHeartbeatResponse records a peer's response to a heartbeat, which was sent at
+// the time sent, and reports whether the peer knows a newer epoch. Responses of a
+// majority that knows no newer epoch confirm the current one. During an outage of
+// the store, only these confirmations allow controllers to renew workers' leases.
 func (c *Cluster) recordHeartbeatResponse(p *peer, ownStatus, peerStatus *peerpb.Status, sent time.Time) (outdated bool) {
 	// The response lists the peer's known cancellations only after JobsBase. Older
 	// ones, which the peer has dropped or lost in a restart, must already be known
--- a/internal/cluster/watch.go
+++ b/internal/cluster/watch.go
@@ -26,7 +26,7 @@
 	for ctx.Err() == nil {
 		if !listed {
 			if err := c.refresh(ctx); err != nil {
-				c.opts.Log.Debug("reading the epoch failed", "err", err)
+				c.opts.Log.Debug("failed to read the epoch", "err", err)
 				wait.Sleep(ctx, listRetry+rand.N(retryJitter))
 				continue
 			}
@@ -78,7 +78,7 @@
 
 func (c *Cluster) refreshAndLog(ctx context.Context) {
 	if err := c.refresh(ctx); err != nil {
-		c.opts.Log.Debug("reading the epoch failed", "err", err)
+		c.opts.Log.Debug("failed to read the epoch", "err", err)
 	}
 }
 
