--- a/internal/cluster/confirmation.go
+++ b/internal/cluster/confirmation.go
@@ -21,11 +21,11 @@
 // stopped. fits is false if even the shortest useful TTL is too long for that.
 func confirmationTTLFor(lease, cancelTimeout time.Duration) (ttl time.Duration, fits bool) {
 	ttl = lease / 4
-	room := cancelTimeout - lease - leaseExpirySlack(lease)
-	if room < min(ttl, minConfirmationTTL) {
+	available := cancelTimeout - lease - leaseExpirySlack(lease)
+	if available < min(ttl, minConfirmationTTL) {
 		return min(ttl, minConfirmationTTL), false
 	}
-	return min(ttl, room), true
+	return min(ttl, available), true
 }
 
 // CanAnswerHeartbeats reports whether this controller may answer workers'
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -55,13 +55,13 @@
 // livePeersLocked returns the peers whose last heartbeat or response is not older than
 // livenessTimeout. Their statuses are not nil.
 func (c *Cluster) livePeersLocked() []*peer {
-	var heard []*peer
+	var live []*peer
 	for _, p := range c.peers {
 		if p.status != nil && time.Since(p.lastSeen) < c.timeouts.livenessTimeout {
-			heard = append(heard, p)
+			live = append(live, p)
 		}
 	}
-	return heard
+	return live
 }
 
 // Isolated reports whether this controller is not a member and has received nothing
--- a/internal/cluster/replicate.go
+++ b/internal/cluster/replicate.go
@@ -64,7 +64,7 @@
 type replication struct {
 	needed  int        // number of acknowledgements still needed; enough if 0 or less
 	pending int        // number of peers that have not answered
-	answers chan error // one result from each pending peer; nil means acknowledged
+	results chan error // one result from each pending peer; nil means acknowledged
 }
 
 // startReplication sends a cancellation to the peers that may not know it.
@@ -86,9 +86,9 @@
 	if c.soleMemberLocked() {
 		return &replication{}
 	}
-	r.pending, r.answers = len(targets), make(chan error, len(targets))
+	r.pending, r.results = len(targets), make(chan error, len(targets))
 	for _, p := range targets {
-		c.queueReplicationLocked(p, encodeCancellation(cancellation), r.answers)
+		c.queueReplicationLocked(p, encodeCancellation(cancellation), r.results)
 	}
 	return r
 }
@@ -104,7 +104,7 @@
 			grace = timer.C
 		}
 		select {
-		case err := <-r.answers:
+		case err := <-r.results:
 			if err == nil {
 				r.needed--
 			}
@@ -131,7 +131,7 @@
 	return controllers - majority
 }
 
-// soleMemberLocked reports whether this controller is the only member and may answer
+// soleMemberLocked reports whether this controller is the only member and may result
 // heartbeats. It then owns all machines and stops the job's tasks itself, so it need
 // not wait for the other controllers, which may have failed.
 func (c *Cluster) soleMemberLocked() bool {
@@ -141,16 +141,16 @@
 // replicationQueue holds the cancellations that have not been sent to a peer yet.
 type replicationQueue struct {
 	cancelled []*peerpb.Cancelled
-	answers   []chan<- error // receives the result, one channel for each cancellation
+	results   []chan<- error // receives the result, one channel for each cancellation
 	sending   bool           // whether sendReplications is running
 }
 
 // queueReplicationLocked queues a cancellation for a peer and starts sending if
 // necessary. Cancellations that are queued during a request are sent together in the
 // next one.
-func (c *Cluster) queueReplicationLocked(p *peer, cancelled *peerpb.Cancelled, answer chan<- error) {
+func (c *Cluster) queueReplicationLocked(p *peer, cancelled *peerpb.Cancelled, result chan<- error) {
 	queue := &p.replication
-	queue.cancelled, queue.answers = append(queue.cancelled, cancelled), append(queue.answers, answer)
+	queue.cancelled, queue.results = append(queue.cancelled, cancelled), append(queue.results, result)
 	if !queue.sending {
 		queue.sending = true
 		go c.sendReplications(p)
@@ -165,8 +165,8 @@
 			return
 		}
 		err := replicate(p.client, queue.cancelled)
-		for _, answer := range queue.answers {
-			answer <- err
+		for _, result := range queue.results {
+			result <- err
 		}
 	}
 }
@@ -203,9 +203,9 @@
 
 func decodeCancellations(encoded []*peerpb.Cancelled) []job.Cancellation {
 	var cancelled []job.Cancellation
-	for _, one := range encoded {
-		cancelled = append(cancelled, job.Cancellation{Job: one.Job, Revision: one.Revision, Outcome: job.Outcome{
-			State: wire.JobCancelled, Tasks: int(one.Tasks), Team: one.Team, CPUs: one.Cpus, GPUs: one.Gpus, MemoryGB: one.MemoryGb}})
+	for _, message := range encoded {
+		cancelled = append(cancelled, job.Cancellation{Job: message.Job, Revision: message.Revision, Outcome: job.Outcome{
+			State: wire.JobCancelled, Tasks: int(message.Tasks), Team: message.Team, CPUs: message.Cpus, GPUs: message.Gpus, MemoryGB: message.MemoryGb}})
 	}
 	return cancelled
 }
