--- a/internal/cluster/replicate.go
+++ b/internal/cluster/replicate.go
@@ -131,7 +131,7 @@
 	return controllers - majority
 }
 
-// soleMemberLocked reports whether this controller is the only member and may result
+// soleMemberLocked reports whether this controller is the only member and may answer
 // heartbeats. It then owns all machines and stops the job's tasks itself, so it need
 // not wait for the other controllers, which may have failed.
 func (c *Cluster) soleMemberLocked() bool {
