--- a/internal/autoscale/inventory.go
+++ b/internal/autoscale/inventory.go
@@ -80,9 +80,9 @@
 	return names
 }
 
-// NoteAnswer notes whether the cloud filled a request for a place. Requests
+// RecordRentResult notes whether the cloud filled a request for a place. Requests
 // that are not filled back off exponentially.
-func (inv *Inventory) NoteAnswer(place placement.Pool, filled bool, now time.Time) {
+func (inv *Inventory) RecordRentResult(place placement.Pool, filled bool, now time.Time) {
 	if filled {
 		delete(inv.refused, place)
 		return
--- a/internal/scheduler/renting.go
+++ b/internal/scheduler/renting.go
@@ -137,7 +137,7 @@
 	pool := placement.Pool{Type: req.Type, Zone: req.Zone, Spot: req.Spot}
 	now := time.Now()
 	filled := err == nil && len(names) >= req.Count
-	s.inventory.NoteAnswer(pool, filled, now)
+	s.inventory.RecordRentResult(pool, filled, now)
 	if !filled {
 		s.log.Info("rental not filled", "type", req.Type, "zone", req.Zone, "spot", req.Spot, "requested", req.Count, "got", len(names), "err", err)
 	}
