--- a/internal/autoscale/inventory.go
+++ b/internal/autoscale/inventory.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// Expect adds a booting machine; one that is known already stays as it is.
-func (inv *Inventory) Expect(name string, place placement.Pool, rentedAt, now time.Time) {
+// AddBooting adds a booting machine; one that is known already stays as it is.
+func (inv *Inventory) AddBooting(name string, place placement.Pool, rentedAt, now time.Time) {
 	if inv.booting[name] == nil {
 		inv.booting[name] = &bootingMachine{place: place, rentedAt: rentedAt, firstSeen: now}
 	}
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -73,7 +73,7 @@
 		if s.machines[listed.ID] != nil {
 			continue
 		}
-		s.inventory.Expect(listed.ID, placement.Pool{Type: listed.Type, Zone: listed.Zone, Spot: listed.Spot}, now.Add(-age), now)
+		s.inventory.AddBooting(listed.ID, placement.Pool{Type: listed.Type, Zone: listed.Zone, Spot: listed.Spot}, now.Add(-age), now)
 	}
 	// The list can lag by up to twice its usual lag.
 	overdue := s.planner.Overdue(s.opts.Settings.CloudListLag, 2*s.opts.Settings.CloudListLag+s.detector.DeadAfter(), now)
--- a/internal/scheduler/renting.go
+++ b/internal/scheduler/renting.go
@@ -143,7 +143,7 @@
 	}
 	for _, name := range names {
 		if s.machines[name] == nil && !s.isReleasedLocked(name) && !s.opts.Actions.HasReturnIntent(name) {
-			s.inventory.Expect(name, pool, now, now)
+			s.inventory.AddBooting(name, pool, now, now)
 		}
 	}
 	if len(names) > 0 {
