--- a/internal/autoscale/inventory.go
+++ b/internal/autoscale/inventory.go
@@ -55,9 +55,9 @@
 	}
 }
 
-// Joined removes a machine from the booting ones: its worker sends heartbeats,
+// MarkJoined removes a machine from the booting ones: its worker sends heartbeats,
 // here or to another controller.
-func (inv *Inventory) Joined(name string) { delete(inv.booting, name) }
+func (inv *Inventory) MarkJoined(name string) { delete(inv.booting, name) }
 
 // Booting returns the names of the booting machines, in no order.
 func (inv *Inventory) Booting() []string {
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -62,7 +62,7 @@
 			continue
 		}
 		if node, owned := s.opts.Authority.HeartbeatTarget(listed.ID); owned && node != s.opts.Node {
-			s.inventory.Joined(listed.ID)
+			s.inventory.MarkJoined(listed.ID)
 			continue // its owner manages it
 		}
 		age := time.Duration(listed.AgeS * float64(time.Second))
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -49,7 +49,7 @@
 	m.syncToken, m.fenceToken = s.epoch.Token, s.epoch.Token
 	m.returnIntent = s.opts.Actions.HasReturnIntent(m.Name)
 	s.machines[m.Name] = m
-	s.inventory.Joined(m.Name)
+	s.inventory.MarkJoined(m.Name)
 	delete(s.preAdoptionReplies, m.Name)
 	return m
 }
