--- a/internal/autoscale/inventory.go
+++ b/internal/autoscale/inventory.go
@@ -107,8 +107,8 @@
 // IsReleased reports whether a machine is known to be released.
 func (inv *Inventory) IsReleased(name string) bool { return !inv.released[name].IsZero() }
 
-// ForgetReleased forgets machines that were released long ago.
-func (inv *Inventory) ForgetReleased(now time.Time) {
+// PruneReleased forgets machines that were released long ago.
+func (inv *Inventory) PruneReleased(now time.Time) {
 	for name, at := range inv.released {
 		if now.Sub(at) > releasedMemory {
 			delete(inv.released, name)
--- a/internal/scheduler/rebalancing.go
+++ b/internal/scheduler/rebalancing.go
@@ -48,7 +48,7 @@
 // forgetOldMachinesLocked deletes what is remembered of machines that have been gone
 // for a long time.
 func (s *Scheduler) forgetOldMachinesLocked(now time.Time) {
-	s.inventory.ForgetReleased(now)
+	s.inventory.PruneReleased(now)
 	for name, at := range s.unknownTasksSince {
 		if now.Sub(at) > unknownTasksRetention {
 			delete(s.unknownTasksSince, name)
