--- a/internal/autoscale/inventory.go
+++ b/internal/autoscale/inventory.go
@@ -93,8 +93,8 @@
 	inv.refused[place] = r
 }
 
-// Refused reports whether a place is backing off after a refusal.
-func (inv *Inventory) Refused(place placement.Pool, now time.Time) bool {
+// InBackoff reports whether a place is backing off after a refusal.
+func (inv *Inventory) InBackoff(place placement.Pool, now time.Time) bool {
 	return now.Before(inv.refused[place].until)
 }
 
--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -137,7 +137,7 @@
 
 // mayRent reports whether the option is open to a task of the job now.
 func (p *plan) mayRent(o *option, j *wire.Job, byZone map[string]int) bool {
-	return !p.planner.Inventory.Refused(o.place, p.now) && placement.Allows(j, o.place, placement.Spread{ByZone: byZone})
+	return !p.planner.Inventory.InBackoff(o.place, p.now) && placement.Allows(j, o.place, placement.Spread{ByZone: byZone})
 }
 
 // compare orders options, the better first.
