--- a/internal/job/answers.go
+++ b/internal/job/answers.go
@@ -12,29 +12,30 @@
 )
 
 const (
-	// answerTries bounds how often an answer is begun again because something has
-	// changed meanwhile.
-	answerTries = 4
-	// cancelTries bounds the attempts of a cancellation.
-	cancelTries = 3
+	// maxStatusAttempts bounds the attempts of a status query, which starts over when
+	// a record that it depends on was not cached or has changed.
+	maxStatusAttempts = 4
+	// maxCancelAttempts bounds the attempts of a cancellation, which starts over when
+	// the job's record was not cached or has changed.
+	maxCancelAttempts = 3
 )
 
-// cachedJob is what memory says of a job. An outcome is current for ever, an active
-// record only if its condition still holds.
+// cachedJob is what the cache holds of a job. An outcome never becomes outdated; an
+// active record is current only while its condition holds in the key-value store.
 type cachedJob struct {
 	status wire.JobStatus
-	over   bool
-	record *Record // of an active job; nil: none is cached
+	ended  bool
+	record *Record // of an active job; nil if none is cached
 }
 
-// known reports whether memory says anything of the job.
-func (j *cachedJob) known() bool { return j.over || j.record != nil }
+// known reports whether the job is cached, as active or as ended.
+func (j *cachedJob) known() bool { return j.ended || j.record != nil }
 
 func (s *Store) cached(id string) cachedJob {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if o := s.outcomes[id]; o != nil {
-		return cachedJob{status: o.status(id), over: true}
+		return cachedJob{status: o.status(id), ended: true}
 	}
 	r := s.active[id]
 	if r == nil {
@@ -51,54 +52,56 @@
 	Outcome Outcome // of a job that has ended
 }
 
-// Resolve finds out about a job that is not cached. The listener is notified of an
-// active one.
+// Resolve reports whether a job exists and whether it has ended. Unless the outcome is
+// cached, it reads the job's record from the key-value store and caches it, so the
+// listener is notified of a job that was not cached.
 func (s *Store) Resolve(ctx context.Context, id string) (Resolution, error) {
-	if outcome, over := s.outcome(id); over {
+	if outcome, ended := s.outcome(id); ended {
 		return Resolution{Found: true, Ended: true, Outcome: outcome}, nil
 	}
 	if found, err := s.read(ctx, id); err != nil || !found {
 		return Resolution{}, err
 	}
-	outcome, over := s.outcome(id)
-	return Resolution{Found: true, Ended: over, Outcome: outcome}, nil
+	outcome, ended := s.outcome(id)
+	return Resolution{Found: true, Ended: ended, Outcome: outcome}, nil
 }
 
-// Lookup is a job's status, if there is such a job.
+// Lookup is the result of looking up a job's status.
 type Lookup struct {
-	Found  bool // somebody has accepted the job
+	Found  bool // the job was accepted
 	Status wire.JobStatus
 }
 
-// Status answers a poll. What memory says is confirmed by a transaction that only
-// compares, many polls in one.
+// Status returns a job's current status. A cached active record is confirmed by a
+// transaction that has conditions but no changes; the committer combines many such
+// queries into one transaction.
 func (s *Store) Status(ctx context.Context, id string) (Lookup, error) {
-	for range answerTries {
+	for range maxStatusAttempts {
 		j := s.cached(id)
-		if j.over {
+		if j.ended {
 			return s.confirmedStatus(ctx, id, j.status)
 		}
 		if j.record == nil {
-			found, err := s.knownInStore(ctx, id)
+			found, err := s.fetchIfAccepted(ctx, id)
 			if err != nil || !found {
 				return Lookup{}, err
 			}
 			continue
 		}
-		again, err := s.confirmActive(ctx, j.record)
+		retry, err := s.confirmActive(ctx, j.record)
 		if err != nil {
 			return Lookup{}, err
 		}
-		if !again {
+		if !retry {
 			return Lookup{Found: true, Status: j.status}, nil
 		}
 	}
 	return Lookup{}, fmt.Errorf("%w: job %s changes all the time", state.ErrUnavailable, id)
 }
 
-// knownInStore reports whether the key-value store has a job that is not cached, and
-// caches it.
-func (s *Store) knownInStore(ctx context.Context, id string) (found bool, err error) {
+// fetchIfAccepted reports whether the key-value store has a job that is not cached. If
+// so, it caches the job's record.
+func (s *Store) fetchIfAccepted(ctx context.Context, id string) (found bool, err error) {
 	_, err = s.committer.Commit(ctx, state.Write{Priority: state.Safety, If: neverAccepted(id)})
 	var conflict *state.Conflict
 	if err == nil {
@@ -112,12 +115,12 @@
 
 // Submission is the result of submitting a job.
 type Submission struct {
-	Created bool // the job was accepted now; false: it was accepted before
+	Created bool // this call accepted the job; false if it had been accepted before
 	Status  wire.JobStatus
 }
 
-// Submit accepts a job, or returns its status if that was done before. The error is
-// ErrNotReady, ErrDependenciesNotSupported, a *wire.FieldError if the job can never
+// Submit accepts a job, or returns the job's status if it was accepted before. The error
+// is ErrNotReady, ErrDependenciesNotSupported, a *wire.FieldError if the job can never
 // be accepted, or that of the key-value store.
 func (s *Store) Submit(ctx context.Context, j wire.Job) (Submission, error) {
 	if !s.Ready() {
@@ -138,7 +141,7 @@
 	case err == nil:
 		r.Version = version
 		s.addActive(j.ID, r)
-		return Submission{Created: true, Status: s.cached(j.ID).status}, nil // it may depend on a cancelled job
+		return Submission{Created: true, Status: s.cached(j.ID).status}, nil // already cancelled if a dependency was
 	case errors.As(err, &conflict):
 		status, err := s.statusOfAccepted(ctx, j.ID)
 		return Submission{Status: status}, err
@@ -146,8 +149,8 @@
 	return Submission{}, err
 }
 
-// statusOfAccepted returns the status of a job that the key-value store is known to
-// have.
+// statusOfAccepted returns the status of a job of which the key-value store is known to
+// have a record.
 func (s *Store) statusOfAccepted(ctx context.Context, id string) (wire.JobStatus, error) {
 	job, err := s.Status(ctx, id)
 	if err == nil && !job.Found {
@@ -156,7 +159,7 @@
 	return job.Status, err
 }
 
-// newRecord makes the record of a job that is about to be accepted, and its value.
+// newRecord returns the record of a job that is about to be accepted, and its encoding.
 // The errors are those of Submit.
 func (s *Store) newRecord(ctx context.Context, j wire.Job) (r *Record, value []byte, err error) {
 	if len(j.Dependencies) > 0 && !s.acceptsDependencies() {
@@ -169,19 +172,20 @@
 	if value, err = json.Marshal(r); err != nil {
 		return nil, nil, fmt.Errorf("encoding job %s: %w", j.ID, err)
 	}
-	largestBucket := MaxDoneEntryBytes(j.Tasks, 0) + bucketOverhead
+	largestBucket := MaxDoneEntryBytes(j.Tasks, 0) + bucketOverheadBytes
 	if max(len(value), largestBucket) > s.maxValue {
 		return nil, nil, &wire.FieldError{Reason: "the job is too large to be recorded"}
 	}
 	return r, value, nil
 }
 
-// Cancel cancels a job unless it is over. Before it returns, the cancellation is in
-// the key-value store and enough controllers know it.
+// Cancel cancels a job unless it has ended. When it returns a cancelled job, the
+// cancellation is in the key-value store and known to enough controllers, see
+// Replicator.
 func (s *Store) Cancel(ctx context.Context, id string) (Lookup, error) {
-	for range cancelTries {
+	for range maxCancelAttempts {
 		j := s.cached(id)
-		if j.over {
+		if j.ended {
 			return s.confirmedStatus(ctx, id, j.status)
 		}
 		if j.record == nil {
@@ -190,7 +194,7 @@
 			}
 			continue
 		}
-		err := s.end(ctx, j.record, wire.JobCancelled, nil)
+		err := s.writeOutcome(ctx, j.record, wire.JobCancelled, nil)
 		var conflict *state.Conflict
 		if err != nil && !errors.As(err, &conflict) {
 			return Lookup{}, err
@@ -205,17 +209,17 @@
 	return Lookup{}, fmt.Errorf("%w: cancelling %s", state.ErrUnavailable, id)
 }
 
-// Finish records that every task of the job is done. With an outdated fencing
-// condition it fails with a *state.Conflict that names no key.
+// Finish records that all tasks of the job are done. If the fencing condition is
+// outdated, it fails with a *state.Conflict that names no key.
 func (s *Store) Finish(ctx context.Context, r *Record, fence state.FencingCondition) error {
-	return s.end(ctx, r, wire.JobDone, &fence)
+	return s.writeOutcome(ctx, r, wire.JobDone, &fence)
 }
 
-// end writes the job's end. Only one with a fencing condition, which a scheduler
-// decided, is retried until the key-value store has answered. A write that waits for
-// budget is dropped once its fencing condition is outdated or the job is over: it
-// would only use up what other writes wait for.
-func (s *Store) end(ctx context.Context, r *Record, final wire.JobState, fence *state.FencingCondition) error {
+// writeOutcome ends a job by writing its outcome. Only a write with a fencing condition,
+// which comes from the scheduler, is retried until the key-value store has answered. A
+// write that is queued for budget is dropped once its fencing condition is outdated or
+// the job has ended, because it would use budget that other writes need.
+func (s *Store) writeOutcome(ctx context.Context, r *Record, final wire.JobState, fence *state.FencingCondition) error {
 	outcome := newOutcome(&r.Job, final, time.Now())
 	write := endWrite(r, &outcome, state.Safety)
 	write.StillValid = func() bool { return !s.Ended(r.Job.ID) }
--- a/internal/job/cancellations.go
+++ b/internal/job/cancellations.go
@@ -9,59 +9,60 @@
 	"heronwick/wire"
 )
 
-// A cancellation that is in the key-value store is not yet known to every controller
-// that may answer the job's workers: its watch may stay silent, and in an outage a
-// majority of the controllers confirms its epoch without the store. So every
-// controller keeps the cancellations that it knows and sends them along with its
-// heartbeats to peers, and none confirms one to a user before enough others know it.
-// See docs/design.md, "Cancelled means known".
+// A controller that may answer the job's workers can be unaware of a cancellation that
+// is in the key-value store: its watch may deliver nothing, and in an outage of the
+// store a majority of the controllers confirms the epoch without the store. Therefore
+// every controller keeps the cancellations that it knows and sends them to its peers
+// with its heartbeats, and no controller confirms a cancellation to a user before enough
+// others know it. See docs/design.md, "Cancelled means known".
 
-// Cancellation is a cancellation that the key-value store has.
+// Cancellation is a cancellation recorded in the key-value store.
 type Cancellation struct {
 	Job      string
-	Revision uint64 // at which it was carried out
+	Revision uint64 // of the key-value store at which it was committed
 	Outcome  Outcome
 }
 
 // Replicator sends cancellations to other controllers.
 type Replicator interface {
-	// Replicate returns nil once so many controllers know the cancellation that no
-	// controller can be allowed to answer workers without learning of it.
+	// Replicate returns nil once enough controllers know the cancellation that no
+	// controller can obtain permission to answer workers without learning of it.
 	Replicate(ctx context.Context, c Cancellation) error
 }
 
-// Cancellations are kept to be sent to peers for at least keepCancellations, at most
-// maxCancellations of them; controllers that lag further behind read the key-value
-// store.
+// Cancellations are kept for sending to peers for at least cancellationRetention, unless
+// there are more than maxCancellations of them. A peer that lags further behind reads
+// the key-value store instead.
 const (
-	keepCancellations = 10 * time.Minute
-	maxCancellations  = 4096
+	cancellationRetention = 10 * time.Minute
+	maxCancellations      = 4096
 )
 
-// loggedCancellation is a cancellation and when this controller learnt of it.
+// loggedCancellation is an entry of the cancellation log.
 type loggedCancellation struct {
 	Cancellation
-	learntAt time.Time
+	addedAt time.Time // when this controller learned of the cancellation
 }
 
-// cancellationLog keeps the cancellations that peers may have to be sent.
+// cancellationLog keeps the recent cancellations, for sending to peers.
 type cancellationLog struct {
-	entries []loggedCancellation // in the order in which they were learnt
-	// base is a revision of the key-value store: all known cancellations after it
-	// are among the entries.
+	entries []loggedCancellation // in the order of addedAt
+	// base is a revision of the key-value store. The entries include all known
+	// cancellations after it.
 	base uint64
 }
 
-// add keeps a cancellation, and drops those that are too old or too many.
+// add appends a cancellation, and drops the oldest entries that are expired or exceed
+// maxCancellations.
 func (l *cancellationLog) add(c Cancellation, now time.Time) {
 	l.entries = append(l.entries, loggedCancellation{c, now})
-	for len(l.entries) > maxCancellations || now.Sub(l.entries[0].learntAt) > keepCancellations {
+	for len(l.entries) > maxCancellations || now.Sub(l.entries[0].addedAt) > cancellationRetention {
 		l.base = max(l.base, l.entries[0].Revision)
 		l.entries = l.entries[1:]
 	}
 }
 
-// after returns those that were carried out after a revision.
+// after returns the entries that were committed after a revision.
 func (l *cancellationLog) after(revision uint64) []Cancellation {
 	var later []Cancellation
 	for i := range l.entries {
@@ -72,20 +73,23 @@
 	return later
 }
 
-// CancellationState is what a controller knows of cancellations.
+// CancellationState describes the cancellations that a controller knows.
 type CancellationState struct {
-	// Loaded reports that the jobs have been read; otherwise nothing is known.
+	// Loaded reports whether the job records have been read. If not, no cancellation
+	// is known and the other fields are zero.
 	Loaded bool
-	// Revision of the key-value store up to which every cancellation is known.
+	// Revision is the revision of the key-value store up to which every cancellation
+	// is known.
 	Revision uint64
-	// Base is the revision after which all known cancellations can be named.
+	// Base is the revision after which every known cancellation is kept in the log.
+	// Cancellations up to Base may be missing from Recent.
 	Base uint64
-	// Recent are those after the requested revision.
+	// Recent holds the logged cancellations after the requested revision.
 	Recent []Cancellation
 }
 
-// KnownCancellations returns what is known of cancellations, and names those after a
-// revision.
+// KnownCancellations describes the cancellations that this controller knows. The field
+// Recent of the result lists those after the given revision.
 func (s *Store) KnownCancellations(after uint64) CancellationState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,15 +99,15 @@
 	return CancellationState{Loaded: true, Revision: s.revision, Base: s.cancellations.base, Recent: s.cancellations.after(after)}
 }
 
-// ApplyCancellations takes cancellations that another controller knows.
+// ApplyCancellations caches cancellations received from another controller.
 func (s *Store) ApplyCancellations(cancelled []Cancellation) {
 	for _, c := range cancelled {
 		s.addOutcome(c.Job, c.Outcome, c.Revision)
 	}
 }
 
-// confirmedStatus returns the status of a job that is over once users may be told of
-// it: a cancellation is replicated first.
+// confirmedStatus returns the status of an ended job, after replicating the job's
+// cancellation if that has not been done: only then may a user see it.
 func (s *Store) confirmedStatus(ctx context.Context, id string, status wire.JobStatus) (Lookup, error) {
 	outcome, replicator := s.unreplicated(id)
 	if outcome == nil {
@@ -118,8 +122,8 @@
 	return Lookup{Found: true, Status: status}, nil
 }
 
-// unreplicated returns a job's outcome if it must be replicated before users are told
-// of it, else nil.
+// unreplicated returns a job's outcome if it has to be replicated before it is reported
+// to users, and nil otherwise.
 func (s *Store) unreplicated(id string) (*outcomeEntry, Replicator) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/job/changes.go
+++ b/internal/job/changes.go
@@ -7,14 +7,14 @@
 	"heronwick/wire"
 )
 
-// changeSet is what a change of the cache means for the listener.
+// changeSet holds what the listener is notified of after a change of the cache.
 type changeSet struct {
-	added   *Record            // nil: none
-	ended   map[string]Outcome // by job
-	changed []string           // jobs whose readiness has changed
+	added            *Record            // nil if no job was added
+	ended            map[string]Outcome // by job
+	readinessChanged []string           // jobs whose readiness has changed
 }
 
-// notify calls the listener for a change set, without the lock.
+// notify calls the listener for a change set, without holding the lock.
 func (s *Store) notify(changes changeSet) {
 	s.mu.Lock()
 	listener := s.listener
@@ -28,12 +28,13 @@
 	for id, outcome := range changes.ended {
 		listener.JobEnded(id, outcome)
 	}
-	if len(changes.changed) > 0 {
-		listener.ReadinessChanged(changes.changed)
+	if len(changes.readinessChanged) > 0 {
+		listener.ReadinessChanged(changes.readinessChanged)
 	}
 }
 
-// addActive caches the record of an active job, unless it is known already.
+// addActive caches the record of an active job, unless the job is cached already, and
+// notifies the listener.
 func (s *Store) addActive(id string, r *Record) {
 	s.mu.Lock()
 	changes := s.addActiveLocked(id, r)
@@ -52,20 +53,20 @@
 		}
 	}
 	s.active[id] = r
-	changes := changeSet{added: r, changed: s.graph.add(r)}
+	changes := changeSet{added: r, readinessChanged: s.graph.add(r)}
 	for _, dependency := range r.Job.Dependencies {
 		switch o := s.outcomes[dependency]; {
 		case o != nil:
-			s.graph.done(dependency, time.UnixMilli(o.EndedMs))
+			s.graph.markDone(dependency, time.UnixMilli(o.EndedMs))
 		case s.active[dependency] == nil:
-			s.resolveLaterLocked(dependency)
+			s.queueLookupLocked(dependency)
 		}
 	}
 	return changes
 }
 
-// addOutcome caches how a job ended, at a revision of the key-value store, unless
-// that is known already.
+// addOutcome caches the outcome that a job got at a revision of the key-value store,
+// unless it is cached already, and notifies the listener.
 func (s *Store) addOutcome(id string, o Outcome, revision uint64) {
 	s.mu.Lock()
 	changes := s.addOutcomeLocked(id, o, revision)
@@ -75,29 +76,29 @@
 
 func (s *Store) addOutcomeLocked(id string, o Outcome, revision uint64) changeSet {
 	if known := s.outcomes[id]; known != nil {
-		if s.implied[id] != nil { // now the key-value store has it too
-			delete(s.implied, id)
+		if s.cascaded[id] != nil { // the outcome is now in the key-value store too
+			delete(s.cascaded, id)
 			known.revision = revision
 		}
 		return changeSet{}
 	}
-	s.keepOutcomeLocked(id, &outcomeEntry{Outcome: o, revision: revision})
+	s.cacheOutcomeLocked(id, &outcomeEntry{Outcome: o, revision: revision})
 	changes := changeSet{ended: map[string]Outcome{id: o}}
 	if o.State != wire.JobCancelled {
-		ready, changed := s.graph.done(id, time.UnixMilli(o.EndedMs))
-		changes.changed = append(changed, ready...)
+		ready, readinessChanged := s.graph.markDone(id, time.UnixMilli(o.EndedMs))
+		changes.readinessChanged = append(readinessChanged, ready...)
 		return changes
 	}
 	s.cancellations.add(Cancellation{Job: id, Revision: revision, Outcome: o}, time.Now())
 	maps.Copy(changes.ended, s.cancelDependentsLocked(id))
-	changes.changed = s.graph.remove(id)
+	changes.readinessChanged = s.graph.remove(id)
 	return changes
 }
 
-// keepOutcomeLocked keeps how a job ended, in place of its active record.
-func (s *Store) keepOutcomeLocked(id string, o *outcomeEntry) {
+// cacheOutcomeLocked caches a job's outcome in place of its active record.
+func (s *Store) cacheOutcomeLocked(id string, o *outcomeEntry) {
 	if len(s.outcomes) >= maxOutcomes {
-		s.dropOneOutcomeLocked()
+		s.evictOutcomeLocked()
 	}
 	s.outcomes[id] = o
 	delete(s.active, id)
@@ -105,10 +106,10 @@
 	delete(s.unresolved, id)
 }
 
-func (s *Store) dropOneOutcomeLocked() {
+func (s *Store) evictOutcomeLocked() {
 	for id := range s.outcomes {
 		delete(s.outcomes, id)
-		delete(s.implied, id)
+		delete(s.cascaded, id)
 		return
 	}
 }
--- a/internal/job/dags.go
+++ b/internal/job/dags.go
@@ -9,8 +9,9 @@
 	"heronwick/wire"
 )
 
-// DependencyGraphs describes every live DAG of dependencies as of now: those in danger
-// of missing their deadline first, then by deadline.
+// DependencyGraphs describes, as of the time now, every DAG of dependencies that has an
+// active job. DAGs in danger of missing their deadline come first; within each group, DAGs
+// are sorted by deadline.
 func (s *Store) DependencyGraphs(now time.Time) []wire.DAG {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -24,7 +25,7 @@
 	return dags
 }
 
-// compareDanger puts DAGs in danger first.
+// compareDanger orders DAGs in danger of missing their deadline before others.
 func compareDanger(a, b wire.DAG) int {
 	switch {
 	case a.InDanger == b.InDanger:
@@ -35,7 +36,7 @@
 	return 1
 }
 
-// compareDeadlines puts the earlier of two deadlines first, and nil last.
+// compareDeadlines orders deadlines, with nil last.
 func compareDeadlines(a, b *float64) int {
 	switch {
 	case a != nil && b != nil:
@@ -52,8 +53,8 @@
 func (s *Store) dependencyGraphLocked(sink *vertex, now time.Time) wire.DAG {
 	id := sink.id()
 	dag := wire.DAG{Sink: id}
-	expected := map[string]time.Time{} // by job, when it should be done
-	for _, v := range s.graph.upTo(sink) {
+	expected := map[string]time.Time{} // expected completion time by job ID
+	for _, v := range s.graph.withAllDependencies(sink) {
 		progress := s.progress[v.id()]
 		expected[v.id()] = v.expectedDone(now, expected, progress)
 		dag.Jobs = append(dag.Jobs, v.dagJob(progress))
@@ -67,10 +68,11 @@
 	return dag
 }
 
-// expectedDone returns when the job should be done by its estimate, given when its
-// dependencies should be. One that runs is taken to have begun when it could.
+// expectedDone returns when the job is expected to be done, from its estimate and the
+// expected completion times of its dependencies. A job that has started is assumed to
+// have started as soon as it could.
 func (v *vertex) expectedDone(now time.Time, dependencies map[string]time.Time, p Progress) time.Time {
-	if v.over {
+	if v.ended {
 		return now
 	}
 	if p.Running > 0 || p.Done > 0 {
@@ -84,7 +86,7 @@
 	return start.Add(v.estimate())
 }
 
-// later returns the later of two times, a if they are equal.
+// later returns the later of two times, or a if they are equal.
 func later(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
@@ -92,11 +94,11 @@
 	return a
 }
 
-// dagJob describes the job in its DAG.
+// dagJob describes the job as a member of a DAG.
 func (v *vertex) dagJob(p Progress) wire.DAGJob {
 	j := &v.record.Job
 	shown := wire.DAGJob{ID: j.ID, Class: j.Class, State: p.state(), Tasks: j.Tasks, Done: p.Done, Running: p.Running}
-	if v.over {
+	if v.ended {
 		shown.State, shown.Done, shown.Running = wire.JobDone, j.Tasks, 0
 	}
 	shown.WaitsFor = slices.Sorted(maps.Keys(v.unfinished))
--- a/internal/job/dependencies.go
+++ b/internal/job/dependencies.go
@@ -8,77 +8,79 @@
 	"heronwick/wire"
 )
 
-// A job may depend on others: none of its tasks starts before they are done in the
-// key-value store, so that it is final. A job that depends on a cancelled one is
-// cancelled: that is implied by the one durable cancellation, on every controller,
-// and needs no write of its own. What users are told of a job is true of all that it
-// depends on, too, see Status.
+// A job may depend on other jobs. None of its tasks starts before the key-value store
+// has recorded these as done, which is final. If a dependency is cancelled, so is the
+// job: every controller derives this from the stored cancellation of the dependency, so
+// it holds without a further write. The status of a job that users see therefore takes
+// the records of all its dependencies into account, see Store.Status.
 
-// Readiness returns whether a job's dependencies are done, and its effective
+// Readiness returns whether a job's dependencies are done, and the job's effective
 // priority. A job that is not known to be active is not ready.
 func (s *Store) Readiness(r *Record) Readiness {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if v := s.graph.vertices[r.Job.ID]; v != nil && !v.over {
+	if v := s.graph.vertices[r.Job.ID]; v != nil && !v.ended {
 		return v.readiness()
 	}
 	return Readiness{EffectivePriority: r.ownPriority()}
 }
 
-// maxConditions bounds the dependencies that a job's answer is conditional on, as a
-// multiple of the changes in a transaction: answers for other jobs share that
-// transaction.
-const maxConditions = 2
+// maxConditionsPerTxnChange bounds the conditions of one status query, as a multiple of
+// the maximum number of changes in a transaction, because queries for other jobs share
+// the transaction.
+const maxConditionsPerTxnChange = 2
 
-// activeProof is what must hold for a job that is known as active to be so.
-type activeProof struct {
+// activeCheck holds what must be checked to confirm that a cached active job is still
+// active.
+type activeCheck struct {
 	conditions []wire.Condition
-	// unknown are dependencies of which nothing is known here.
-	unknown []string
-	// partial reports that there are too many dependencies. Those that were
-	// cancelled must be learnt up to the moment of the answer instead.
-	partial bool
+	// uncached holds the IDs of dependencies that have to be read first.
+	uncached []string
+	// tooMany reports that there are too many dependencies for conditions on all of
+	// them. The conditions then cover only the job itself, and cancellations of
+	// dependencies have to be read up to the revision of the check.
+	tooMany bool
 }
 
-// activeProofOf returns what must hold for an active job not to be cancelled: the
-// conditions of its own record and of those of all dependencies, direct and
-// transitive, that may still be cancelled.
-func (s *Store) activeProofOf(r *Record) activeProof {
+// newActiveCheck returns the check that an active job has not ended: the conditions of
+// its own record and of the records of all dependencies, direct and transitive, that may
+// still be cancelled.
+func (s *Store) newActiveCheck(r *Record) activeCheck {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	most := maxConditions * s.committer.MaxChanges()
-	proof := activeProof{conditions: []wire.Condition{r.Condition()}}
-	for _, id := range s.graph.unfinishedBefore(r.Job.ID) {
+	maxConditions := maxConditionsPerTxnChange * s.committer.MaxChanges()
+	check := activeCheck{conditions: []wire.Condition{r.Condition()}}
+	for _, id := range s.graph.allUnfinishedDependencies(r.Job.ID) {
 		dependency := s.active[id]
 		switch {
 		case dependency == nil:
-			proof.unknown = append(proof.unknown, id)
-		case len(proof.conditions) >= most:
-			proof.partial = true
+			check.uncached = append(check.uncached, id)
+		case len(check.conditions) >= maxConditions:
+			check.tooMany = true
 		default:
-			proof.conditions = append(proof.conditions, dependency.Condition())
+			check.conditions = append(check.conditions, dependency.Condition())
 		}
 	}
-	if proof.partial {
-		proof.conditions = proof.conditions[:1]
+	if check.tooMany {
+		check.conditions = check.conditions[:1]
 	}
-	return proof
+	return check
 }
 
-// confirmActive confirms with the key-value store that a job is still active. again
-// reports that something has changed and was read, so that the answer must be begun
-// again.
-func (s *Store) confirmActive(ctx context.Context, r *Record) (again bool, err error) {
-	proof := s.activeProofOf(r)
-	if len(proof.unknown) > 0 {
-		return true, s.readAll(ctx, proof.unknown)
+// confirmActive confirms with the key-value store that a job is still active. retry
+// reports that the cache was outdated or incomplete and has been updated, so that the
+// caller must start over.
+func (s *Store) confirmActive(ctx context.Context, r *Record) (retry bool, err error) {
+	check := s.newActiveCheck(r)
+	if len(check.uncached) > 0 {
+		return true, s.readAll(ctx, check.uncached)
 	}
-	revision, err := s.committer.Commit(ctx, state.Write{Priority: state.Safety, If: proof.conditions})
+	revision, err := s.committer.Commit(ctx, state.Write{Priority: state.Safety, If: check.conditions})
 	var conflict *state.Conflict
 	if errors.As(err, &conflict) {
 		return true, s.readAll(ctx, activeIDs(conflict.Failed))
 	}
-	if err != nil || !proof.partial {
+	if err != nil || !check.tooMany {
 		return false, err
 	}
 	if err := s.SyncToRevision(ctx, revision); err != nil {
@@ -97,7 +99,7 @@
 	return nil
 }
 
-// activeIDs returns the ids of the jobs whose active records the keys are.
+// activeIDs returns the IDs of the jobs whose active records are stored under the keys.
 func activeIDs(keys []string) []string {
 	var ids []string
 	for _, key := range keys {
@@ -107,8 +109,9 @@
 	return ids
 }
 
-// checkDependencies checks that all jobs that a job depends on were accepted: then
-// that is so for ever. The error is a *wire.FieldError if one of them never was.
+// checkDependencies checks that all dependencies of a job were accepted. Since an accepted
+// job stays accepted, the result holds from then on. The error is a *wire.FieldError if
+// a dependency was never accepted or can never be done.
 func (s *Store) checkDependencies(ctx context.Context, j *wire.Job) error {
 	for _, id := range j.Dependencies {
 		if err := s.checkDependency(ctx, j, id); err != nil {
@@ -125,7 +128,7 @@
 	}
 	for range 2 {
 		switch dependency := s.cached(id); {
-		case dependency.over:
+		case dependency.ended:
 			return nil
 		case dependency.record != nil && dependency.record.Job.Kind == wire.KindService:
 			return &wire.FieldError{Field: wire.FieldDependencies, Reason: id + " is a service, which is never done"}
@@ -140,5 +143,5 @@
 			return neverAccepted
 		}
 	}
-	return nil // accepted, and dropped from memory since
+	return nil // accepted, but evicted from the cache since it was read
 }
--- a/internal/job/doc.go
+++ b/internal/job/doc.go
@@ -1,9 +1,10 @@
-// Package job keeps the records of jobs in the consensus-backed key-value store:
-// accepting, cancelling and finishing them, their DAG dependencies, and the bitmaps
-// of their done tasks. Its answers to users never go backwards.
+// Package job stores the records of jobs in the consensus-backed key-value store. It
+// accepts, cancels and finishes jobs, and keeps their dependency graph and the bitmaps
+// of their done tasks. A status reported to a user is never older than one reported
+// before.
 //
-// A job that is not over has one key under jobs/active/, written once. Its end
-// removes that key and writes one under jobs/final/ with its outcome, in one
-// transaction. So a cached active record whose key still has its version is
-// current, and an outcome is for ever.
+// An active job has one key under jobs/active/, which is written once. When the job
+// ends, one transaction removes that key and writes the job's outcome under
+// jobs/final/. A cached active record is therefore current as long as its key has the
+// cached version, and a cached outcome never becomes outdated.
 package job
--- a/internal/job/follow.go
+++ b/internal/job/follow.go
@@ -14,22 +14,24 @@
 )
 
 const (
-	// What failed is retried after minRetryPause plus up to retryJitter.
-	minRetryPause = 100 * time.Millisecond
+	// A failed request is retried after minRetryDelay plus a random time below
+	// retryJitter.
+	minRetryDelay = 100 * time.Millisecond
 	retryJitter   = 200 * time.Millisecond
 )
 
-// retryPause returns how long to wait before a retry.
-func retryPause() time.Duration { return minRetryPause + rand.N(retryJitter) }
+// retryDelay returns how long to wait before a retry.
+func retryDelay() time.Duration { return minRetryDelay + rand.N(retryJitter) }
 
-// follow keeps the cache as the key-value store is, until ctx ends.
+// follow loads the active jobs and then applies the changes in the key-value store to the
+// cache until ctx ends.
 func (s *Store) follow(ctx context.Context) error {
 	loaded := false
 	for ctx.Err() == nil {
 		if !loaded {
 			if err := s.load(ctx); err != nil {
-				s.log.Debug("reading jobs failed", "err", err)
-				wait.Sleep(ctx, retryPause())
+				s.log.Debug("failed to read the active jobs; will retry", "err", err)
+				wait.Sleep(ctx, retryDelay())
 				continue
 			}
 			loaded = true
@@ -37,7 +39,7 @@
 		events, err := s.client.Watch(ctx, prefix, s.knownRevision(), state.WatchTimeout)
 		if err != nil {
 			loaded = !errors.Is(err, state.ErrCompacted)
-			wait.Sleep(ctx, retryPause())
+			wait.Sleep(ctx, retryDelay())
 			continue
 		}
 		s.applyEvents(events, 0)
@@ -51,8 +53,8 @@
 	return s.revision
 }
 
-// SyncToRevision makes every change known up to a revision that the caller has seen
-// in the key-value store. The error is ErrNotReady, or that of the read.
+// SyncToRevision applies all changes up to a revision that the caller has seen in the
+// key-value store to the cache. The error is ErrNotReady or that of the read.
 func (s *Store) SyncToRevision(ctx context.Context, revision uint64) error {
 	if !s.Ready() {
 		return ErrNotReady
@@ -68,12 +70,13 @@
 	if err != nil {
 		return fmt.Errorf("catching up with the jobs: %w", err)
 	}
-	// What was carried out before the request is in the answer.
+	// The response contains all changes that were committed before the request.
 	s.applyEvents(events, revision)
 	return nil
 }
 
-// load reads all active jobs.
+// load reads all active jobs into the cache, and the outcomes of those that have ended
+// since they were cached.
 func (s *Store) load(ctx context.Context) error {
 	listing, err := s.client.List(ctx, state.Safety, activePrefix)
 	if err != nil {
@@ -85,18 +88,18 @@
 		listed[id] = true
 		s.apply(item.Key, item.Value, item.Version)
 	}
-	// What was active here and is not listed any more has ended meanwhile.
+	// Jobs that are cached as active but not listed have ended.
 	for _, id := range s.activeNotListed(listed, listing.Revision) {
 		if _, err := s.read(ctx, id); err != nil {
 			return err
 		}
 	}
-	s.finishLoad(listing.Revision)
+	s.markLoaded(listing.Revision)
 	return nil
 }
 
-// activeNotListed returns the active jobs that a list as of a revision should have
-// held and did not.
+// activeNotListed returns the IDs of jobs that are cached as active, but are missing from
+// a list of a revision at which they had been accepted.
 func (s *Store) activeNotListed(listed map[string]bool, revision uint64) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,9 +112,10 @@
 	return missing
 }
 
-// finishLoad records that everything is known up to a revision. The jobs that ended
-// before it cannot be named.
-func (s *Store) finishLoad(revision uint64) {
+// markLoaded records that the cache is complete up to a revision. The list of active jobs
+// does not name the jobs that ended before that revision, so the cancellation log is
+// complete only after it.
+func (s *Store) markLoaded(revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision = max(s.revision, revision)
@@ -121,11 +125,12 @@
 	}
 }
 
-// applyEvents applies what a watch from the known revision has brought. All changes
-// up to revision known are among them.
+// applyEvents applies the events of a watch that started at the revision of the cache.
+// known is a revision up to which the caller knows the events to be complete, or 0.
 func (s *Store) applyEvents(events wire.Events, known uint64) {
 	for _, event := range events.Events {
-		// A removed active key comes with an outcome, in the same revision.
+		// Deletions are skipped: an active record is only deleted in a transaction that
+		// also puts the outcome.
 		if event.Put != "" {
 			s.apply(event.Put, event.Value, event.Version)
 		}
@@ -135,7 +140,7 @@
 	s.revision = max(s.revision, events.Revision, known)
 }
 
-// apply caches a record as the key-value store has it.
+// apply decodes a record that was read from the key-value store and caches it.
 func (s *Store) apply(key string, value json.RawMessage, version uint64) {
 	if id, ok := idUnder(activePrefix, key); ok {
 		var r Record
@@ -153,18 +158,18 @@
 	}
 }
 
-// decode decodes a record, or logs why that failed and returns false.
+// decode decodes a record. If that fails, it logs the error and returns false.
 func (s *Store) decode(key string, value json.RawMessage, record any) bool {
 	if err := json.Unmarshal(value, record); err != nil {
-		s.log.Error("job record unreadable", "key", key, "err", err)
+		s.log.Error("cannot decode a job record", "key", key, "err", err)
 		return false
 	}
 	return true
 }
 
-// read reads a job's record from the key-value store and caches it; found is false
-// if there is none. Outcomes come first: a job that ends between the two reads is
-// found by reading them once more.
+// read reads a job's record from the key-value store and caches it; found is false if
+// there is none. It reads the outcome before the active record, and a second time if it
+// finds neither: the job may have ended between the two reads.
 func (s *Store) read(ctx context.Context, id string) (found bool, err error) {
 	for range 2 {
 		for _, key := range []string{finalPrefix + id, activePrefix + id} {
@@ -176,7 +181,7 @@
 	return false, nil
 }
 
-// readKey reads a record from the key-value store and caches it.
+// readKey reads the record under a key from the key-value store and caches it.
 func (s *Store) readKey(ctx context.Context, key string) (found bool, err error) {
 	item, err := s.client.Get(ctx, state.Safety, key)
 	if errors.Is(err, state.ErrNotFound) {
--- a/internal/job/helpers_test.go
+++ b/internal/job/helpers_test.go
@@ -12,21 +12,21 @@
 	"heronwick/wire"
 )
 
-// newStore makes a store on a key-value store of its own, with so many writes a second
-// and changes in a transaction, and returns the client that it writes with.
+// newStore returns a store on a new key-value store with the given write rate and number
+// of changes per transaction, and the client that the store uses.
 func newStore(writesPerSecond float64, txnChanges int) (*state.Client, *job.Store) {
 	return newStoreOn(standin.NewState(), 50, writesPerSecond, txnChanges)
 }
 
-// newStoreOn makes a store on a key-value store that others may use too, and returns the
-// client that it writes with.
+// newStoreOn returns a store on an existing key-value store, which other stores may use
+// too, and the client that the store uses.
 func newStoreOn(service *standin.State, requestsPerSecond, writesPerSecond float64, txnChanges int) (*state.Client, *job.Store) {
 	client := state.NewClient(service.Connect("a"), state.NewBudget(requestsPerSecond, writesPerSecond, txnChanges))
 	return client, newStoreWith(client, txnChanges, 16<<10)
 }
 
-// newStoreWith makes a store that writes with a client, values of at most maxValue
-// bytes.
+// newStoreWith returns a store that uses the given client. maxValue is the maximum size
+// of a value in bytes.
 func newStoreWith(client *state.Client, txnChanges, maxValue int) *job.Store {
 	return job.NewStore(job.Options{
 		Client: client, Committer: state.NewCommitter(client, txnChanges), MaxValueBytes: maxValue,
@@ -35,7 +35,7 @@
 	})
 }
 
-// testJob returns the submission of the i-th job.
+// testJob returns the i-th job to submit.
 func testJob(i int) wire.Job {
 	return wire.Job{ID: fmt.Sprintf("wk-%06d", i), Team: "red", Class: "c", Kind: wire.KindArray,
 		Tasks: 3, CPUs: 1, MemoryGB: 1, Image: "i"}
--- a/internal/job/priority.go
+++ b/internal/job/priority.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// EffectivePriority decides how soon a job is served: its own priority and deadline,
-// or those of a job that depends on it, where they are higher or earlier.
+// EffectivePriority determines how soon a job is served. It is the job's own priority and
+// deadline, or those of jobs that depend on it where these are higher or earlier.
 type EffectivePriority struct {
-	Rank int       // of the priority, 0 being the highest
-	Due  time.Time // deadline; zero: none
+	Rank int       // of the priority; 0 is the highest
+	Due  time.Time // deadline; zero if there is none
 }
 
 // raise makes the priority at least as urgent as a rank and a deadline, and reports
@@ -20,7 +20,8 @@
 	return *p != before
 }
 
-// ownPriority returns the priority of the job without the jobs that depend on it.
+// ownPriority returns the priority of the job itself, without regard to the jobs that
+// depend on it.
 func (r *Record) ownPriority() EffectivePriority {
 	p := EffectivePriority{Rank: r.Job.Priority.Rank()}
 	if r.Job.DeadlineS != nil {
@@ -29,12 +30,15 @@
 	return p
 }
 
-// Readiness is what follows for a job from its place in the dependency graph.
+// Readiness holds the properties of a job that follow from its dependencies and
+// dependents.
 type Readiness struct {
 	EffectivePriority
-	// Ready reports that all its dependencies are done in the key-value store.
+	// Ready reports whether all dependencies are recorded as done in the key-value
+	// store.
 	Ready bool
-	// ReadyAt is when the last of them ended; zero: it has none.
+	// ReadyAt is the time at which the last done dependency ended. It is zero if
+	// the job has no done dependency.
 	ReadyAt time.Time
 }
 
--- a/internal/job/resolver.go
+++ b/internal/job/resolver.go
@@ -10,24 +10,24 @@
 	"heronwick/internal/wait"
 )
 
-// maxLookups is how many jobs are looked up at once.
-const maxLookups = 8
+const maxConcurrentLookups = 8
 
-// resolveLaterLocked has a job looked up that others depend on.
-func (s *Store) resolveLaterLocked(id string) {
+// queueLookupLocked makes the resolver look up a job that is not cached and that another
+// job depends on.
+func (s *Store) queueLookupLocked(id string) {
 	s.unresolved[id] = true
-	s.pokeResolver()
+	s.wakeResolver()
 }
 
-func (s *Store) pokeResolver() {
+func (s *Store) wakeResolver() {
 	select {
-	case s.toResolve <- struct{}{}:
+	case s.resolverWake <- struct{}{}:
 	default:
 	}
 }
 
-// runResolver looks up the dependencies that are not among the active jobs, until ctx
-// ends: mostly they were done before this controller started.
+// runResolver looks up dependencies that are not cached until ctx ends. Most of them were
+// done before this controller started.
 func (s *Store) runResolver(ctx context.Context) error {
 	if s.WaitUntilReady(ctx) != nil {
 		return nil
@@ -36,7 +36,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-s.toResolve:
+		case <-s.resolverWake:
 		}
 		s.resolveAll(ctx)
 	}
@@ -44,21 +44,21 @@
 
 func (s *Store) resolveAll(ctx context.Context) {
 	var g errgroup.Group
-	g.SetLimit(maxLookups)
+	g.SetLimit(maxConcurrentLookups)
 	for _, id := range s.unresolvedIDs() {
 		g.Go(func() error {
 			found, err := s.read(ctx, id)
 			if err == nil && !found {
-				s.log.Error("a job that another depends on is not in the store", "job", id)
+				s.log.Error("the store has no record of a dependency", "job", id)
 			}
 			return err
 		})
 	}
 	if err := g.Wait(); err != nil {
-		s.log.Debug("looking up dependencies failed", "err", err)
-		wait.Sleep(ctx, retryPause())
+		s.log.Debug("failed to look up dependencies; will retry", "err", err)
+		wait.Sleep(ctx, retryDelay())
 		if len(s.unresolvedIDs()) > 0 {
-			s.pokeResolver()
+			s.wakeResolver()
 		}
 	}
 }
--- a/internal/job/store.go
+++ b/internal/job/store.go
@@ -18,21 +18,22 @@
 var (
 	// ErrNotReady means that the records have not been read yet.
 	ErrNotReady = errors.New("job records not read yet")
-	// ErrDependenciesNotSupported means that jobs with dependencies are not
-	// accepted yet: a controller that would start them too early may still run.
+	// ErrDependenciesNotSupported means that jobs with dependencies are not accepted
+	// yet, because a controller that does not support them may still be running and
+	// would start such jobs too early.
 	ErrDependenciesNotSupported = errors.New("not every controller supports jobs that need others yet")
 )
 
-// maxOutcomes bounds the outcomes kept in memory; others are read when needed.
+// maxOutcomes bounds the cached outcomes. Other outcomes are read when they are needed.
 const maxOutcomes = 50_000
 
-// Listener is notified of jobs that come and go. Its methods are called without the
-// store's lock.
+// Listener is notified of changes to the set of active jobs and their readiness. Its
+// methods are called without holding the store's lock.
 type Listener interface {
 	JobAdded(r *Record)
-	JobEnded(id string, f Outcome)
-	// ReadinessChanged is called with active jobs that have become ready, or whose
-	// effective priority has changed.
+	JobEnded(id string, outcome Outcome)
+	// ReadinessChanged is called with the IDs of active jobs that have become ready or
+	// whose effective priority has changed.
 	ReadinessChanged(ids []string)
 }
 
@@ -43,35 +44,35 @@
 	maxValue            int // bytes
 	acceptsDependencies func() bool
 	log                 *slog.Logger
-	loaded              chan struct{} // closed once the records have been read
-	toResolve           chan struct{} // poked when unresolved has grown
+	loaded              chan struct{} // closed when the records have been read
+	resolverWake        chan struct{} // signals that unresolved has grown
 
 	mu            sync.Mutex
-	revision      uint64 // of the key-value store, up to which changes are known
+	revision      uint64 // of the key-value store up to which all changes are applied
 	active        map[string]*Record
 	outcomes      map[string]*outcomeEntry
 	progress      map[string]Progress // of active jobs
 	graph         *graph              // of the active jobs' dependencies
-	implied       map[string]*Record  // cancelled because a dependency is; the key-value store still has them as active
-	unresolved    map[string]bool     // dependencies that are neither known to be active nor over
+	cascaded      map[string]*Record  // cancelled because of a dependency, and still active in the key-value store
+	unresolved    map[string]bool     // dependencies that are not cached, as active or as ended
 	cancellations cancellationLog
 	listener      Listener
 	replicator    Replicator
 }
 
-// outcomeEntry is a job's outcome with what is known of its record.
+// outcomeEntry is a cached outcome of a job.
 type outcomeEntry struct {
 	Outcome
-	revision   uint64 // at which it was written
-	replicated bool   // a cancellation that users may be told of
+	revision   uint64 // at which the job, or the dependency that it was cancelled with, was ended
+	replicated bool   // the cancellation may be reported to users
 }
 
-// Progress is how many of a job's tasks are done and running, for display.
+// Progress holds the numbers of done and running tasks of a job, for display.
 type Progress struct {
 	Done, Running int
 }
 
-// state is the state of an active job, as users see it.
+// state returns the state of an active job as reported to users.
 func (p Progress) state() wire.JobState {
 	if p.Running > 0 {
 		return wire.JobRunning
@@ -83,14 +84,14 @@
 type Options struct {
 	Client    *state.Client
 	Committer *state.Committer
-	// MaxValueBytes is how many bytes a value of the key-value store may have.
+	// MaxValueBytes is the maximum size of a value in the key-value store.
 	MaxValueBytes int
 	// AcceptsDependencies reports whether jobs with dependencies may be accepted.
 	AcceptsDependencies func() bool
 	Log                 *slog.Logger
 }
 
-// NewStore makes an empty store; Run fills it.
+// NewStore returns an empty store. Run fills it.
 func NewStore(opts Options) *Store {
 	return &Store{
 		client:              opts.Client,
@@ -99,22 +100,22 @@
 		acceptsDependencies: opts.AcceptsDependencies,
 		log:                 opts.Log,
 		loaded:              make(chan struct{}),
-		toResolve:           make(chan struct{}, 1),
+		resolverWake:        make(chan struct{}, 1),
 		active:              map[string]*Record{},
 		outcomes:            map[string]*outcomeEntry{},
 		progress:            map[string]Progress{},
 		graph:               newGraph(),
-		implied:             map[string]*Record{},
+		cascaded:            map[string]*Record{},
 		unresolved:          map[string]bool{},
 	}
 }
 
-// Run reads all active jobs and follows their changes until ctx ends.
+// Run reads all active jobs and applies later changes until ctx ends.
 func (s *Store) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return s.follow(ctx) })
 	g.Go(func() error { return s.runResolver(ctx) })
-	g.Go(func() error { return s.runImplied(ctx) })
+	g.Go(func() error { return s.runCascadeWrites(ctx) })
 	return g.Wait()
 }
 
@@ -139,15 +140,15 @@
 	s.listener = l
 }
 
-// SetReplicator sets the replicator of cancellations; without one users are told
-// of them at once.
+// SetReplicator sets the replicator of cancellations. Without one, cancellations are
+// reported to users without being replicated.
 func (s *Store) SetReplicator(r Replicator) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.replicator = r
 }
 
-// Active returns an active job's record, nil if none is cached.
+// Active returns an active job's record, or nil if none is cached.
 func (s *Store) Active(id string) *Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,15 +162,15 @@
 	return slices.Collect(maps.Values(s.active))
 }
 
-// Ended reports whether a job is known to be over, without asking the key-value
+// Ended reports whether a job is known to have ended. It does not read the key-value
 // store.
 func (s *Store) Ended(id string) bool {
-	_, over := s.outcome(id)
-	return over
+	_, ended := s.outcome(id)
+	return ended
 }
 
-// outcome returns a job's outcome, if it is known to be over.
-func (s *Store) outcome(id string) (o Outcome, over bool) {
+// outcome returns a job's outcome if the job is known to have ended.
+func (s *Store) outcome(id string) (o Outcome, ended bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if entry := s.outcomes[id]; entry != nil {
@@ -190,7 +191,7 @@
 	return weights
 }
 
-// SetProgress sets what to display of an active job.
+// SetProgress sets the progress that is displayed for an active job.
 func (s *Store) SetProgress(id string, p Progress) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/job/traversal.go
+++ b/internal/job/traversal.go
@@ -7,46 +7,47 @@
 	"slices"
 )
 
-// reachable returns what can be reached from start along the edges that next returns,
-// without start itself, breadth first.
+// reachable returns all nodes that can be reached from start, without start itself, in
+// breadth-first order. next returns the successors of a node.
 func reachable[T comparable](start T, next func(T) iter.Seq[T]) []T {
 	seen := map[T]bool{}
 	var all []T
-	for work := []T{start}; len(work) > 0; work = work[1:] {
-		for to := range next(work[0]) {
+	for queue := []T{start}; len(queue) > 0; queue = queue[1:] {
+		for to := range next(queue[0]) {
 			if !seen[to] {
 				seen[to] = true
 				all = append(all, to)
-				work = append(work, to)
+				queue = append(queue, to)
 			}
 		}
 	}
 	return all
 }
 
-// after returns all active jobs that depend on a job, directly or through others.
-func (g *graph) after(id string) []string {
+// allActiveDependents returns all active jobs that depend on a job, directly or
+// transitively.
+func (g *graph) allActiveDependents(id string) []string {
 	return reachable(id, g.activeDependents)
 }
 
 // activeDependents returns the active jobs that depend directly on a job.
 func (g *graph) activeDependents(id string) iter.Seq[string] {
-	dependents := g.missing[id]
+	dependents := g.dependentsOfMissing[id]
 	if v := g.vertices[id]; v != nil {
 		dependents = v.dependents
 	}
 	return func(yield func(string) bool) {
 		for dependent, d := range dependents {
-			if !d.over && !yield(dependent) {
+			if !d.ended && !yield(dependent) {
 				return
 			}
 		}
 	}
 }
 
-// unfinishedBefore returns the jobs that are not known to be done and that a job
-// depends on, directly or through others, by id.
-func (g *graph) unfinishedBefore(id string) []string {
+// allUnfinishedDependencies returns the jobs that a job depends on, directly or
+// transitively, and that are not known to be done. They are sorted by ID.
+func (g *graph) allUnfinishedDependencies(id string) []string {
 	ids := reachable(id, func(id string) iter.Seq[string] {
 		if v := g.vertices[id]; v != nil {
 			return maps.Keys(v.unfinished)
@@ -61,17 +62,17 @@
 func (g *graph) sinks() []*vertex {
 	var sinks []*vertex
 	for _, v := range g.vertices {
-		if !v.over && len(v.dependencies()) > 0 && !v.hasActiveDependents() {
+		if !v.ended && len(v.dependencies()) > 0 && !v.hasActiveDependents() {
 			sinks = append(sinks, v)
 		}
 	}
 	return sinks
 }
 
-// upTo returns a vertex and all that it depends on, directly or through others, as far
-// as they are in the graph and also those that are over, in the order in which the
-// jobs were accepted.
-func (g *graph) upTo(sink *vertex) []*vertex {
+// withAllDependencies returns a vertex and all vertices in the graph that it depends on,
+// directly or transitively, including those of ended jobs. They are in the order in
+// which the jobs were accepted.
+func (g *graph) withAllDependencies(sink *vertex) []*vertex {
 	all := append([]*vertex{sink}, reachable(sink, g.dependencyVertices)...)
 	slices.SortFunc(all, func(a, b *vertex) int { return cmp.Compare(a.record.Version, b.record.Version) })
 	return all
--- a/internal/job/vertex.go
+++ b/internal/job/vertex.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// vertex is a job in the dependency graph. One that is done stays for as long as a
-// job that is not depends on it.
+// vertex is a job in the dependency graph. A done job stays in the graph as long as a job
+// that is not done depends on it.
 type vertex struct {
 	record     *Record
-	over       bool
+	ended      bool
 	unfinished map[string]bool // dependencies that are not known to be done
-	readyAt    time.Time       // when the last of its dependencies that are done ended
+	readyAt    time.Time       // when the last done dependency ended; zero if none is done
 	priority   EffectivePriority
-	dependents map[string]*vertex // by job
+	dependents map[string]*vertex // by job ID
 }
 
 func newVertex(r *Record) *vertex {
@@ -25,8 +25,8 @@
 
 func (v *vertex) dependencies() []string { return v.record.Job.Dependencies }
 
-// startBy returns when the job has to start to be done at its deadline; zero: it has
-// none.
+// startBy returns the latest time at which the job can start and still meet its deadline.
+// It is zero if there is no deadline.
 func (v *vertex) startBy() time.Time {
 	if v.priority.Due.IsZero() {
 		return time.Time{}
@@ -34,18 +34,18 @@
 	return v.priority.Due.Add(-v.estimate())
 }
 
-// estimate is about how long the job takes once it can start.
+// estimate returns the estimated time that the job takes once it can start.
 func (v *vertex) estimate() time.Duration { return seconds(v.record.Job.EstimateS) }
 
-// inherit raises the priority to that of a dependent, which has to start before its
-// own deadline, and reports whether that changed it.
+// inherit raises the job's priority to that of a dependent and reports whether it
+// changed. The job is due when the dependent has to start to meet its own deadline.
 func (v *vertex) inherit(dependent *vertex) (changed bool) {
 	return v.priority.raise(dependent.priority.Rank, dependent.startBy())
 }
 
-// finish marks a dependency as done at a time and reports whether the job became
-// ready by that.
-func (v *vertex) finish(dependency string, at time.Time) (ready bool) {
+// markDependencyDone marks a dependency as done at a time and reports whether the job
+// became ready as a result.
+func (v *vertex) markDependencyDone(dependency string, at time.Time) (ready bool) {
 	if !v.unfinished[dependency] {
 		return false
 	}
@@ -54,15 +54,14 @@
 	return len(v.unfinished) == 0
 }
 
-// readiness returns what follows for the job from its place in the graph.
 func (v *vertex) readiness() Readiness {
 	return Readiness{EffectivePriority: v.priority, Ready: len(v.unfinished) == 0, ReadyAt: v.readyAt}
 }
 
-// hasActiveDependents reports whether a job that is not over depends on this one.
+// hasActiveDependents reports whether an active job depends directly on this one.
 func (v *vertex) hasActiveDependents() bool {
 	for _, d := range v.dependents {
-		if !d.over {
+		if !d.ended {
 			return true
 		}
 	}
