--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -151,7 +151,7 @@
 			s.uncountAttemptLocked(a)
 			continue
 		}
-		a.Stop, a.GraceS, a.MustGoBy = true, 0, stopBy
+		a.Stop, a.GraceS, a.ExitDeadline = true, 0, stopBy
 		if !a.Sized {
 			a.Team, a.Size, a.Sized = outcome.Team, outcomeTaskSize(outcome), true
 			if s.epoch.OwnerOf(outcome.Team, id) == s.opts.Node {
--- a/internal/scheduler/machinewatch.go
+++ b/internal/scheduler/machinewatch.go
@@ -127,13 +127,13 @@
 // to expire in time.
 func (s *Scheduler) cancelledTaskOverdueLocked(m *machine, now time.Time) bool {
 	for _, a := range m.Attempts.All() {
-		if a.MustGoBy.IsZero() || a.Exited() || now.Before(a.MustGoBy.Add(-overdueMargin)) {
+		if a.ExitDeadline.IsZero() || a.Exited() || now.Before(a.ExitDeadline.Add(-overdueMargin)) {
 			continue
 		}
-		if now.After(a.MustGoBy) {
+		if now.After(a.ExitDeadline) {
 			return true
 		}
-		if expiry, ok := s.leaseExpiryLocked(m); !ok || expiry.After(a.MustGoBy) {
+		if expiry, ok := s.leaseExpiryLocked(m); !ok || expiry.After(a.ExitDeadline) {
 			return true
 		}
 	}
--- a/internal/scheduler/tokensync.go
+++ b/internal/scheduler/tokensync.go
@@ -58,7 +58,7 @@
 // waiting in the queue or for the limiter.
 func (m *machine) mayRunCancelledTask() bool {
 	for _, a := range m.Attempts.All() {
-		if !a.MustGoBy.IsZero() && !a.Exited() {
+		if !a.ExitDeadline.IsZero() && !a.Exited() {
 			return true
 		}
 	}
