--- a/internal/completion/flush.go
+++ b/internal/completion/flush.go
@@ -47,7 +47,7 @@
 type writtenBlock struct {
 	job      *Job
 	block    int
-	attempts []*fleet.Attempt // attempts to mark as Handled once the block is written
+	attempts []*fleet.Attempt // attempts to mark as ExitProcessed once the block is written
 }
 
 // FlushDue reports whether the flush interval has passed since the last flush.
@@ -140,7 +140,7 @@
 	}
 	for _, written := range write.blocks {
 		for _, a := range written.attempts {
-			a.Handled = true
+			a.ExitProcessed = true
 		}
 	}
 }
--- a/internal/completion/job.go
+++ b/internal/completion/job.go
@@ -26,7 +26,7 @@
 }
 
 // Complete marks the task of an attempt as done. The next Table.Flush writes that, and
-// the attempt is marked as Handled once the write has succeeded.
+// the attempt is marked as ExitProcessed once the write has succeeded.
 func (j *Job) Complete(a *fleet.Attempt) {
 	block := j.Add(a.Index)
 	j.dirty[block] = true
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -26,17 +26,17 @@
 	Size    placement.Resources
 	Sized   bool // Size and Team are known
 
-	State        wire.TaskState  // "" until a heartbeat shows it
-	Why          wire.ExitReason // once it has exited
-	Durable      bool            // its record is in the store: the start may be sent
-	Journal      string          // key of the journal that alone holds that record; "": none does
-	InBucket     bool            // its machine's bucket holds it
-	Handled      bool            // it exited, and what follows from that is in the store
-	Stop         bool            // it is to be stopped
-	GraceS       float64         // seconds for saving when it is stopped
-	ExitDeadline time.Time       // cancelled: it must be gone by then; zero otherwise
-	Placed       time.Time       // when it was placed, or found
-	Running      time.Time       // when it was first seen running
+	State         wire.TaskState  // "" until a heartbeat shows it
+	Why           wire.ExitReason // once it has exited
+	Durable       bool            // its record is in the store: the start may be sent
+	Journal       string          // key of the journal that alone holds that record; "": none does
+	InBucket      bool            // its machine's bucket holds it
+	ExitProcessed bool            // it exited, and what follows from that is in the store
+	Stop          bool            // it is to be stopped
+	GraceS        float64         // seconds for saving when it is stopped
+	ExitDeadline  time.Time       // cancelled: it must be gone by then; zero otherwise
+	Placed        time.Time       // when it was placed, or found
+	Running       time.Time       // when it was first seen running
 
 	// Restored reports that it was read from a record at a takeover and has not
 	// been seen since. Its start is not sent again; the first heartbeat under the
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -82,7 +82,7 @@
 // exited. A start of it that still arrives later would run it once more; if it is
 // done, the worker would only repeat its result.
 func (m *Machine) forgettable(a *Attempt) bool {
-	if !a.Exited() || !a.Handled || m.directStartMayArrive(a) {
+	if !a.Exited() || !a.ExitProcessed || m.directStartMayArrive(a) {
 		return false
 	}
 	return a.Why == wire.ExitDone || a.maxStartToken < m.FencingToken
@@ -112,7 +112,7 @@
 		if a.unansweredToken >= token && (a.Stop && a.State == "" || a.Exited()) {
 			return true
 		}
-		if a.Exited() && a.Handled && a.Why != wire.ExitDone && a.maxStartToken >= token {
+		if a.Exited() && a.ExitProcessed && a.Why != wire.ExitDone && a.maxStartToken >= token {
 			leftovers++
 		}
 	}
--- a/internal/scheduler/adoption.go
+++ b/internal/scheduler/adoption.go
@@ -56,7 +56,7 @@
 				continue
 			}
 			s.adoptAttemptLocked(m, a)
-			if a.Exited() && !a.Handled {
+			if a.Exited() && !a.ExitProcessed {
 				s.handleAttemptExitLocked(m, a)
 			}
 		}
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -115,7 +115,7 @@
 	if queued == nil {
 		// The owner of a hosted job settles the attempt and decides what follows. If the
 		// job has ended, nothing follows.
-		a.Handled = !a.Hosted
+		a.ExitProcessed = !a.Hosted
 		s.uncountAttemptLocked(a)
 		return
 	}
@@ -123,7 +123,7 @@
 		s.markTaskDoneLocked(queued, a)
 		return
 	}
-	a.Handled = true
+	a.ExitProcessed = true
 	switch a.Why {
 	case wire.ExitStopped, wire.ExitDone, wire.ExitError, wire.ExitPeerLost, wire.ExitGangIncomplete:
 	default:
--- a/internal/scheduler/hostedattempts.go
+++ b/internal/scheduler/hostedattempts.go
@@ -46,7 +46,7 @@
 	hosted := s.hostedAttemptsLocked(req)
 	for _, attempt := range req.Handled {
 		if found := hosted[remote.KeyOf(attempt)]; found.attempt != nil && found.attempt.Exited() {
-			found.attempt.Handled = true
+			found.attempt.ExitProcessed = true
 		}
 	}
 	for _, attempt := range req.Attempts {
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -73,7 +73,7 @@
 		for _, a := range m.Attempts.All() {
 			if a.Job == record.Job.ID && !a.Sized {
 				s.adoptAttemptLocked(m, a)
-				if a.Exited() && !a.Handled {
+				if a.Exited() && !a.ExitProcessed {
 					s.handleAttemptExitLocked(m, a)
 				}
 			}
@@ -113,7 +113,7 @@
 	if queued != nil {
 		s.log.Debug("job ended", "job", id, "state", outcome.State, "after", time.Since(queued.AcceptedAt))
 		for a := range queued.Done.Unwritten() {
-			a.Handled = true
+			a.ExitProcessed = true
 		}
 	}
 	s.completions.RemoveJob(id)
@@ -142,7 +142,7 @@
 			continue
 		}
 		if a.Exited() {
-			a.Handled = true
+			a.ExitProcessed = true
 			continue
 		}
 		touched = true
--- a/internal/scheduler/settle.go
+++ b/internal/scheduler/settle.go
@@ -40,7 +40,7 @@
 		}
 		s.updateHostLocked(a)
 		if a.Host != s.opts.Node {
-			recorded := a.Handled || s.jobs[a.Job] == nil
+			recorded := a.ExitProcessed || s.jobs[a.Job] == nil
 			requests.Add(a, recorded)
 		} else if s.loaded && s.adoptedToken == s.epoch.Token {
 			// This scheduler has adopted the machine, and the attempt was not on it.
