--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -16,15 +16,15 @@
 // Attempt is one attempt of a task that may be on a machine.
 type Attempt struct {
 	Key
-	Job     string
-	Index   int // of the task in the job
-	Team    string
-	Rank    int  // of the job's priority, 0 being the highest
-	Service bool // the job is a service
-	Image   string
-	ImageGB float64
-	Size    placement.Resources
-	Sized   bool // Size and Team are known
+	Job       string
+	Index     int // of the task in the job
+	Team      string
+	Rank      int  // of the job's priority, 0 being the highest
+	Service   bool // the job is a service
+	Image     string
+	ImageGB   float64
+	Size      placement.Resources
+	SizeKnown bool // Size and Team are known
 
 	State         wire.TaskState  // "" until a heartbeat shows it
 	Why           wire.ExitReason // once it has exited
@@ -68,7 +68,7 @@
 func (a *Attempt) Describe(j *wire.Job, rank int) {
 	a.Team, a.Rank, a.Service = j.Team, rank, j.Kind == wire.KindService
 	a.Image, a.ImageGB = j.Image, j.ImageGB
-	a.Size, a.Sized = placement.TaskResources(j), true
+	a.Size, a.SizeKnown = placement.TaskResources(j), true
 	if j.CheckpointS > 0 {
 		a.GraceS = saveGrace(j)
 	}
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -54,7 +54,7 @@
 	for _, a := range m.Attempts.All() {
 		if !a.Exited() {
 			free = free.Minus(a.Size)
-			sized = sized && a.Sized
+			sized = sized && a.SizeKnown
 		}
 	}
 	return free, sized
--- a/internal/scheduler/adoption.go
+++ b/internal/scheduler/adoption.go
@@ -123,7 +123,7 @@
 func (s *Scheduler) trackRecordLocked(adopting *adoption, fleetMachine *fleet.Machine, host string) {
 	for _, a := range fleetMachine.Attempts.All() {
 		if outcome, ended := adopting.outcomes[a.Job]; ended && s.epoch.OwnerOf(outcome.Team, a.Job) == s.opts.Node {
-			a.Team, a.Size, a.Sized = outcome.Team, outcomeTaskSize(outcome), true
+			a.Team, a.Size, a.SizeKnown = outcome.Team, outcomeTaskSize(outcome), true
 			s.trackRemoteLocked(a, host, fleetMachine.Zone)
 		} else if queued := s.jobs[a.Job]; queued != nil && adopting.gained[a.Job] {
 			a.Describe(&queued.Record.Job, queued.EffectivePriority)
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -71,7 +71,7 @@
 	}
 	for _, m := range s.machines {
 		for _, a := range m.Attempts.All() {
-			if a.Job == record.Job.ID && !a.Sized {
+			if a.Job == record.Job.ID && !a.SizeKnown {
 				s.adoptAttemptLocked(m, a)
 				if a.Exited() && !a.ExitProcessed {
 					s.handleAttemptExitLocked(m, a)
@@ -152,8 +152,8 @@
 			continue
 		}
 		a.Stop, a.GraceS, a.ExitDeadline = true, 0, stopBy
-		if !a.Sized {
-			a.Team, a.Size, a.Sized = outcome.Team, outcomeTaskSize(outcome), true
+		if !a.SizeKnown {
+			a.Team, a.Size, a.SizeKnown = outcome.Team, outcomeTaskSize(outcome), true
 			if s.epoch.OwnerOf(outcome.Team, id) == s.opts.Node {
 				s.countAttemptLocked(m.Zone, a)
 			}
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -120,7 +120,7 @@
 // running: they may finish in time, and stopping them would lose their work anyway.
 func (s *Scheduler) drainLocked(m *machine) {
 	for _, a := range m.Attempts.All() {
-		if a.Stop || a.Exited() || !a.Sized {
+		if a.Stop || a.Exited() || !a.SizeKnown {
 			continue
 		}
 		if a.Service || a.GraceS > 0 || a.Running.IsZero() {
