--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -43,9 +43,9 @@
 	// new token shows whether it is there.
 	Restored bool
 
-	// Counted reports that the scheduler's sums include it, under Zone.
-	Counted bool
-	Zone    string
+	// CountedInUsage reports that the scheduler's sums include it, under Zone.
+	CountedInUsage bool
+	Zone           string
 	// Hosted reports that its job belongs to another scheduler, which had it placed
 	// here under the epoch of token Epoch.
 	Hosted bool
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -49,10 +49,10 @@
 // countAttemptLocked adds an attempt that may be on a machine in the zone to the usage
 // of its team and to its job.
 func (s *Scheduler) countAttemptLocked(zone string, a *fleet.Attempt) {
-	if a.Counted {
+	if a.CountedInUsage {
 		return
 	}
-	a.Counted, a.Zone = true, zone
+	a.CountedInUsage, a.Zone = true, zone
 	s.teams.Add(a.Team, a.Size)
 	if queued := s.jobs[a.Job]; queued != nil {
 		queued.AttemptAdded(a.Index, a.Zone)
@@ -69,10 +69,10 @@
 
 // uncountWithoutWakeLocked is uncountAttemptLocked without waking the scheduler.
 func (s *Scheduler) uncountWithoutWakeLocked(a *fleet.Attempt) {
-	if !a.Counted {
+	if !a.CountedInUsage {
 		return
 	}
-	a.Counted = false
+	a.CountedInUsage = false
 	s.teams.Remove(a.Team, a.Size)
 	if queued := s.jobs[a.Job]; queued != nil {
 		queued.AttemptRemoved(a.Index, a.Zone)
--- a/internal/scheduler/rebuild.go
+++ b/internal/scheduler/rebuild.go
@@ -122,7 +122,7 @@
 func (s *Scheduler) countEndedJobsLocked() {
 	for _, m := range s.machines {
 		for _, a := range m.Attempts.All() {
-			if !a.Counted && a.SizeKnown && !a.Exited() && s.jobs[a.Job] == nil && s.opts.Jobs.Active(a.Job) == nil &&
+			if !a.CountedInUsage && a.SizeKnown && !a.Exited() && s.jobs[a.Job] == nil && s.opts.Jobs.Active(a.Job) == nil &&
 				s.epoch.OwnerOf(a.Team, a.Job) == s.opts.Node {
 				a.Hosted = false
 				s.countAttemptLocked(m.Zone, a)
--- a/internal/scheduler/remoteplacement.go
+++ b/internal/scheduler/remoteplacement.go
@@ -42,7 +42,7 @@
 
 // setRemoteZoneLocked records the zone that a remote attempt runs in.
 func (s *Scheduler) setRemoteZoneLocked(a *remote.Attempt, zone string) {
-	if !a.Counted || a.Zone == zone {
+	if !a.CountedInUsage || a.Zone == zone {
 		return
 	}
 	if queued := s.jobs[a.Job]; queued != nil {
