--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -28,7 +28,7 @@
 
 	State         wire.TaskState  // "" until a heartbeat shows it
 	Why           wire.ExitReason // once it has exited
-	Durable       bool            // its record is in the store: the start may be sent
+	Recorded      bool            // its record is in the store: the start may be sent
 	Journal       string          // key of the journal that alone holds that record; "": none does
 	InBucket      bool            // its machine's bucket holds it
 	ExitProcessed bool            // it exited, and what follows from that is in the store
--- a/internal/scheduler/hostedattempts.go
+++ b/internal/scheduler/hostedattempts.go
@@ -81,7 +81,7 @@
 // answer is that they are not here.
 func (s *Scheduler) dropStaleHostedLocked(m *machine) {
 	for _, a := range m.Attempts.All() {
-		if a.Hosted && !a.Durable && a.Epoch < s.epoch.assignedToken {
+		if a.Hosted && !a.Recorded && a.Epoch < s.epoch.assignedToken {
 			m.Attempts.Delete(a.Key)
 		}
 	}
