--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -38,10 +38,10 @@
 	Placed        time.Time       // when it was placed, or found
 	Running       time.Time       // when it was first seen running
 
-	// Restored reports that it was read from a record at a takeover and has not
+	// Unconfirmed reports that it was read from a record at a takeover and has not
 	// been seen since. Its start is not sent again; the first heartbeat under the
 	// new token shows whether it is there.
-	Restored bool
+	Unconfirmed bool
 
 	// CountedInUsage reports that the scheduler's sums include it, under Zone.
 	CountedInUsage bool
@@ -96,5 +96,5 @@
 
 // NeverSent reports whether no message has ever held the attempt's start.
 func (a *Attempt) NeverSent() bool {
-	return a.State == "" && !a.Restored && !a.startInReply && a.directStarts == 0 && a.maxStartToken == 0
+	return a.State == "" && !a.Unconfirmed && !a.startInReply && a.directStarts == 0 && a.maxStartToken == 0
 }
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -97,7 +97,7 @@
 
 // mustStart reports whether the start of the attempt must be sent, or sent again.
 func (m *Machine) mustStart(a *Attempt) bool {
-	return a.State == "" && a.Recorded && !a.Stop && !a.Restored && a.incarnation == m.Incarnation
+	return a.State == "" && a.Recorded && !a.Stop && !a.Unconfirmed && a.incarnation == m.Incarnation
 }
 
 // maxLeftovers is how many exited attempts may stay in a worker's heartbeats until
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -96,7 +96,7 @@
 	if a.State != "" {
 		return true // the worker had it and has forgotten it
 	}
-	if !a.Stop && !a.Restored {
+	if !a.Stop && !a.Unconfirmed {
 		return false // its start will be sent again
 	}
 	if m.directStartMayArrive(a) {
