--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -27,7 +27,7 @@
 	SizeKnown bool // Size and Team are known
 
 	State         wire.TaskState  // "" until a heartbeat shows it
-	Why           wire.ExitReason // once it has exited
+	ExitReason    wire.ExitReason // once it has exited
 	Recorded      bool            // its record is in the store: the start may be sent
 	Journal       string          // key of the journal that alone holds that record; "": none does
 	InBucket      bool            // its machine's bucket holds it
@@ -83,7 +83,7 @@
 // The kinds of event.
 const (
 	Started EventKind = iota // it is running
-	Exited                   // it has exited, see Attempt.Why
+	Exited                   // it has exited, see ExitReason
 	Lost                     // it is gone without a result
 	Found                    // it is on the machine, though no record says so
 )
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -85,7 +85,7 @@
 	if !a.Exited() || !a.ExitProcessed || m.directStartMayArrive(a) {
 		return false
 	}
-	return a.Why == wire.ExitDone || a.maxStartToken < m.FencingToken
+	return a.ExitReason == wire.ExitDone || a.maxStartToken < m.FencingToken
 }
 
 // mustStop reports whether the worker has the attempt and must be told to stop it.
@@ -112,7 +112,7 @@
 		if a.unansweredToken >= token && (a.Stop && a.State == "" || a.Exited()) {
 			return true
 		}
-		if a.Exited() && a.ExitProcessed && a.Why != wire.ExitDone && a.maxStartToken >= token {
+		if a.Exited() && a.ExitProcessed && a.ExitReason != wire.ExitDone && a.maxStartToken >= token {
 			leftovers++
 		}
 	}
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -62,7 +62,7 @@
 	if a.Exited() {
 		return Event{}, false
 	}
-	a.State, a.Why = status.State, status.Reason
+	a.State, a.ExitReason = status.State, status.Reason
 	switch {
 	case status.State == wire.TaskExited:
 		return Event{Exited, a}, true
@@ -82,7 +82,7 @@
 		return Event{}, false
 	}
 	a := &Attempt{Key: Key{status.Task, status.Attempt}, Job: job, Index: index, Recorded: true, Placed: now,
-		State: status.State, Why: status.Reason, incarnation: m.Incarnation, lastShownIn: m.heartbeats}
+		State: status.State, ExitReason: status.Reason, incarnation: m.Incarnation, lastShownIn: m.heartbeats}
 	if status.State == wire.TaskRunning {
 		a.Running = now
 	}
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -92,17 +92,17 @@
 // scheduler's machines: first its consequences for the machine, then those for the job.
 func (s *Scheduler) handleAttemptExitLocked(m *machine, a *fleet.Attempt) {
 	now := time.Now()
-	s.log.Debug("exited", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "why", a.Why, "since_placed", now.Sub(a.Placed))
-	if a.Why == wire.ExitError {
+	s.log.Debug("exited", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "why", a.ExitReason, "since_placed", now.Sub(a.Placed))
+	if a.ExitReason == wire.ExitError {
 		s.handleTaskFailureLocked(m, s.jobOf(a.Job), a, now)
 	}
-	if a.Why == wire.ExitDone {
+	if a.ExitReason == wire.ExitDone {
 		clear(m.failedJobs)
 		if queued := s.jobOf(a.Job); queued != nil {
 			queued.Succeeded = true
 		}
 	}
-	if a.Why == wire.ExitNoCapacity || a.Why == wire.ExitBusy {
+	if a.ExitReason == wire.ExitNoCapacity || a.ExitReason == wire.ExitBusy {
 		m.placeNotBefore = now.Add(refusedMachineDelay)
 	}
 	s.applyAttemptExitLocked(a, now)
@@ -119,15 +119,15 @@
 		s.uncountAttemptLocked(a)
 		return
 	}
-	if a.Why == wire.ExitDone && !a.Service {
+	if a.ExitReason == wire.ExitDone && !a.Service {
 		s.markTaskDoneLocked(queued, a)
 		return
 	}
 	a.ExitProcessed = true
-	switch a.Why {
+	switch a.ExitReason {
 	case wire.ExitStopped, wire.ExitDone, wire.ExitError, wire.ExitPeerLost, wire.ExitGangIncomplete:
 	default:
-		s.log.Info("start refused", "task", a.Task, "attempt", a.Attempt, "why", a.Why)
+		s.log.Info("start refused", "task", a.Task, "attempt", a.Attempt, "why", a.ExitReason)
 		queued.NotBefore = now.Add(refusedStartDelay)
 	}
 	s.uncountAttemptLocked(a)
--- a/internal/scheduler/hostedattempts.go
+++ b/internal/scheduler/hostedattempts.go
@@ -73,7 +73,7 @@
 		return &peerpb.Hosted{Attempt: attempt}
 	}
 	return &peerpb.Hosted{Attempt: attempt, Known: true, Zone: found.machine.Zone,
-		State: string(found.attempt.State), Why: string(found.attempt.Why)}
+		State: string(found.attempt.State), Why: string(found.attempt.ExitReason)}
 }
 
 // dropStaleHostedLocked removes hosted attempts that were requested under an earlier
--- a/internal/scheduler/settle.go
+++ b/internal/scheduler/settle.go
@@ -97,7 +97,7 @@
 		return
 	}
 	s.setRemoteZoneLocked(a, hosted.Zone)
-	a.State, a.Why = wire.TaskState(hosted.State), wire.ExitReason(hosted.Why)
+	a.State, a.ExitReason = wire.TaskState(hosted.State), wire.ExitReason(hosted.Why)
 	if a.Exited() {
 		s.applyAttemptExitLocked(a.Attempt, now)
 	}
