--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -35,7 +35,7 @@
 	Stop          bool            // it is to be stopped
 	GraceS        float64         // seconds for saving when it is stopped
 	ExitDeadline  time.Time       // cancelled: it must be gone by then; zero otherwise
-	Placed        time.Time       // when it was placed, or found
+	PlacedAt      time.Time       // when it was placed, or found
 	Running       time.Time       // when it was first seen running
 
 	// Unconfirmed reports that it was read from a record at a takeover and has not
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -81,7 +81,7 @@
 	if !ok {
 		return Event{}, false
 	}
-	a := &Attempt{Key: Key{status.Task, status.Attempt}, Job: job, Index: index, Recorded: true, Placed: now,
+	a := &Attempt{Key: Key{status.Task, status.Attempt}, Job: job, Index: index, Recorded: true, PlacedAt: now,
 		State: status.State, ExitReason: status.Reason, incarnation: m.Incarnation, lastShownIn: m.heartbeats}
 	if status.State == wire.TaskRunning {
 		a.Running = now
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -79,7 +79,7 @@
 
 // Add books a new attempt. Its start is not sent before it is Durable.
 func (m *Machine) Add(a *Attempt, now time.Time) {
-	a.incarnation, a.Placed = m.Incarnation, now
+	a.incarnation, a.PlacedAt = m.Incarnation, now
 	m.Attempts.Put(a)
 }
 
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -168,6 +168,6 @@
 		key := Key{task, attempt}
 		// An older leader may have sent it directly, under any older token.
 		m.Attempts.Put(&Attempt{Key: key, Job: job, Index: index, Recorded: true, incarnation: r.Incarnation,
-			Placed: now, Unconfirmed: true, unansweredToken: token - 1})
+			PlacedAt: now, Unconfirmed: true, unansweredToken: token - 1})
 	}
 }
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -92,7 +92,7 @@
 // scheduler's machines: first its consequences for the machine, then those for the job.
 func (s *Scheduler) handleAttemptExitLocked(m *machine, a *fleet.Attempt) {
 	now := time.Now()
-	s.log.Debug("exited", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "why", a.ExitReason, "since_placed", now.Sub(a.Placed))
+	s.log.Debug("exited", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "why", a.ExitReason, "since_placed", now.Sub(a.PlacedAt))
 	if a.ExitReason == wire.ExitError {
 		s.handleTaskFailureLocked(m, s.jobOf(a.Job), a, now)
 	}
