--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -36,7 +36,7 @@
 	GraceS        float64         // seconds for saving when it is stopped
 	ExitDeadline  time.Time       // cancelled: it must be gone by then; zero otherwise
 	PlacedAt      time.Time       // when it was placed, or found
-	Running       time.Time       // when it was first seen running
+	RunningSince  time.Time       // when it was first seen running
 
 	// Unconfirmed reports that it was read from a record at a takeover and has not
 	// been seen since. Its start is not sent again; the first heartbeat under the
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -66,8 +66,8 @@
 	switch {
 	case status.State == wire.TaskExited:
 		return Event{Exited, a}, true
-	case status.State == wire.TaskRunning && a.Running.IsZero():
-		a.Running = now
+	case status.State == wire.TaskRunning && a.RunningSince.IsZero():
+		a.RunningSince = now
 		m.noteImage(a, now)
 		return Event{Started, a}, true
 	}
@@ -84,7 +84,7 @@
 	a := &Attempt{Key: Key{status.Task, status.Attempt}, Job: job, Index: index, Recorded: true, PlacedAt: now,
 		State: status.State, ExitReason: status.Reason, incarnation: m.Incarnation, lastShownIn: m.heartbeats}
 	if status.State == wire.TaskRunning {
-		a.Running = now
+		a.RunningSince = now
 	}
 	m.Attempts.Put(a)
 	return Event{Found, a}, true
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -105,8 +105,8 @@
 
 // lostWork returns the cost of stopping an attempt, in seconds of work.
 func lostWork(a *fleet.Attempt, now time.Time) float64 {
-	if a.Running.IsZero() {
+	if a.RunningSince.IsZero() {
 		return 0
 	}
-	return restartCostS + now.Sub(a.Running).Seconds()
+	return restartCostS + now.Sub(a.RunningSince).Seconds()
 }
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -123,7 +123,7 @@
 		if a.Stop || a.Exited() || !a.SizeKnown {
 			continue
 		}
-		if a.Service || a.GraceS > 0 || a.Running.IsZero() {
+		if a.Service || a.GraceS > 0 || a.RunningSince.IsZero() {
 			s.log.Info("draining", "task", a.Task, "machine", m.Name)
 			a.Stop = true
 			s.sendCommandsLocked(m)
