--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -44,9 +44,9 @@
 	m.FencingToken = max(m.FencingToken, h.FencingToken)
 	m.HeartbeatSeen, m.LastHeartbeat = true, now
 	m.Address, m.TypeName, m.Zone, m.Spot = h.Address, h.Type, h.Zone, h.Spot
-	m.Notice = time.Time{}
+	m.ReclaimAt = time.Time{}
 	if h.NoticeS != nil {
-		m.Notice = now.Add(time.Duration(*h.NoticeS * float64(time.Second)))
+		m.ReclaimAt = now.Add(time.Duration(*h.NoticeS * float64(time.Second)))
 	}
 	m.heartbeats++
 }
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -24,7 +24,7 @@
 	LastHeartbeat     time.Time // when the newest heartbeat or answer came
 	LastReply         time.Time // when a heartbeat was last answered by this controller
 	IncarnationSeenAt time.Time // when the incarnation was first seen: its lease began no later
-	Notice            time.Time // when the cloud takes it away; zero: not known
+	ReclaimAt         time.Time // when the cloud takes it away; zero: not known
 
 	Attempts     Attempts
 	CachedImages map[string]CachedImage // by name, those that are known to be on the machine
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -73,7 +73,7 @@
 // acceptsLocked reports whether new tasks may be placed on the machine if it has
 // room.
 func (s *Scheduler) acceptsLocked(m *machine, now time.Time) bool {
-	available := !m.returning && !m.returnIntent && !m.quarantined && m.Notice.IsZero()
+	available := !m.returning && !m.returnIntent && !m.quarantined && m.ReclaimAt.IsZero()
 	return s.synced(m) && m.Type != nil && available && !now.Before(m.placeNotBefore) &&
 		m.Responsive() && now.Sub(m.LastHeartbeat) < s.detector.SuspectAfter() &&
 		!s.detector.HeartbeatsMissing(&m.Worker, now)
--- a/internal/scheduler/machinewatch.go
+++ b/internal/scheduler/machinewatch.go
@@ -46,7 +46,7 @@
 		if reason := s.returnReasonLocked(m, assessment, now); reason != autoscale.NotReturned {
 			returned[reason] = append(returned[reason], m)
 		}
-		if !m.Notice.IsZero() || assessment.HeartbeatsMissing(&m.Worker) {
+		if !m.ReclaimAt.IsZero() || assessment.HeartbeatsMissing(&m.Worker) {
 			s.drainLocked(m)
 		}
 		raise = raise || m.NeedsHigherFencingToken(token) || s.heldByExitedAttemptsLocked(m, now)
