--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -38,8 +38,8 @@
 	return &Machine{Name: name, CachedImages: map[string]CachedImage{}}
 }
 
-// Place returns the machine's type, zone and kind.
-func (m *Machine) Place() placement.Pool {
+// Pool returns the machine's type, zone and kind.
+func (m *Machine) Pool() placement.Pool {
 	return placement.Pool{Type: m.TypeName, Zone: m.Zone, Spot: m.Spot}
 }
 
--- a/internal/packing/packer.go
+++ b/internal/packing/packer.go
@@ -46,7 +46,7 @@
 // Allows reports whether the next task of the job may be placed on the machine,
 // regardless of room.
 func (p *Packer) Allows(queued *queue.Job, m *Machine) bool {
-	if !placement.Allows(&queued.Record.Job, m.Place(), placement.Spread{ByZone: queued.Zones}) {
+	if !placement.Allows(&queued.Record.Job, m.Pool(), placement.Spread{ByZone: queued.Zones}) {
 		return false
 	}
 	if queued.Avoids(m.Name) {
