--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -43,10 +43,10 @@
 	return placement.Pool{Type: m.TypeName, Zone: m.Zone, Spot: m.Spot}
 }
 
-// Room returns the machine's capacity less what its attempts take. sized reports
+// FreeResources returns the machine's capacity less what its attempts take. sized reports
 // whether the sizes of all of them are known; otherwise no other attempt may be
 // placed on the machine. Without a known Type there is no room.
-func (m *Machine) Room() (free placement.Resources, sized bool) {
+func (m *Machine) FreeResources() (free placement.Resources, sized bool) {
 	if m.Type == nil {
 		return placement.Resources{}, false
 	}
@@ -60,9 +60,9 @@
 	return free, sized
 }
 
-// Free returns the machine's free resources, see Room.
+// Free returns the machine's free resources, see FreeResources.
 func (m *Machine) Free() placement.Resources {
-	free, _ := m.Room()
+	free, _ := m.FreeResources()
 	return free
 }
 
--- a/internal/packing/pass.go
+++ b/internal/packing/pass.go
@@ -99,7 +99,7 @@
 	}
 	m.refreshedInPass, m.usable, m.free = p.pass.number, m.accepts(now), placement.Resources{}
 	if m.usable {
-		m.free, m.usable = m.Room()
+		m.free, m.usable = m.FreeResources()
 	}
 }
 
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -85,7 +85,7 @@
 	if !s.acceptsLocked(m, now) {
 		return false
 	}
-	_, sized := m.Room()
+	_, sized := m.FreeResources()
 	return sized
 }
 
