--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -7,8 +7,8 @@
 	"heronwick/wire"
 )
 
-// Reply returns the commands for the reply to the newest heartbeat.
-func (m *Machine) Reply() []wire.Command {
+// ReplyCommands returns the commands for the reply to the newest heartbeat.
+func (m *Machine) ReplyCommands() []wire.Command {
 	commands := m.commands()
 	m.eachStart(commands, func(a *Attempt) { a.startInReply, a.repliedSeq = true, m.Seq })
 	return commands
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -49,7 +49,7 @@
 	m.LastReply = now
 	m.RecordUnsolicited(heartbeat, fresh, now)
 	if fresh {
-		reply.Commands = append(reply.Commands, m.Reply()...)
+		reply.Commands = append(reply.Commands, m.ReplyCommands()...)
 		return reply
 	}
 	// The heartbeat is late or a duplicate: the worker drops the reply, which must not
