--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -144,13 +144,13 @@
 func FromRecord(name string, r Record, token uint64, now time.Time) *Machine {
 	m := NewMachine(name)
 	m.Seq, m.FencingToken = r.Seq, r.FencingToken
-	m.Restore(r, token, now)
+	m.MergeRecord(r, token, now)
 	return m
 }
 
-// Restore adds what another record says may be on the machine: while a machine is
+// MergeRecord adds what another record says may be on the machine: while a machine is
 // transferred, its owner before may still have an older record of it.
-func (m *Machine) Restore(r Record, token uint64, now time.Time) {
+func (m *Machine) MergeRecord(r Record, token uint64, now time.Time) {
 	m.Incarnation = max(m.Incarnation, r.Incarnation)
 	if m.Address == "" {
 		m.Address, m.TypeName, m.Zone, m.Spot = r.Address, r.Type, r.Zone, r.Spot
--- a/internal/scheduler/adoption.go
+++ b/internal/scheduler/adoption.go
@@ -91,7 +91,7 @@
 		adopted = &adoptedMachine{machine: fleet.FromRecord(name, record, token, a.now)}
 		a.machines[name] = adopted
 	} else {
-		adopted.machine.Restore(record, token, a.now)
+		adopted.machine.MergeRecord(record, token, a.now)
 	}
 	if bucket == nil {
 		return
