--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -63,9 +63,9 @@
 // Exited reports whether a heartbeat has shown that the attempt exited.
 func (a *Attempt) Exited() bool { return a.State == wire.TaskExited }
 
-// Describe takes over what an attempt has of its job, and the rank of the job's
+// SetJobDetails takes over what an attempt has of its job, and the rank of the job's
 // priority.
-func (a *Attempt) Describe(j *wire.Job, rank int) {
+func (a *Attempt) SetJobDetails(j *wire.Job, rank int) {
 	a.Team, a.Rank, a.Service = j.Team, rank, j.Kind == wire.KindService
 	a.Image, a.ImageGB = j.Image, j.ImageGB
 	a.Size, a.SizeKnown = placement.TaskResources(j), true
--- a/internal/scheduler/adoption.go
+++ b/internal/scheduler/adoption.go
@@ -126,7 +126,7 @@
 			a.Team, a.Size, a.SizeKnown = outcome.Team, outcomeTaskSize(outcome), true
 			s.trackRemoteLocked(a, host, fleetMachine.Zone)
 		} else if queued := s.jobs[a.Job]; queued != nil && adopting.gained[a.Job] {
-			a.Describe(&queued.Record.Job, queued.EffectivePriority)
+			a.SetJobDetails(&queued.Record.Job, queued.EffectivePriority)
 			s.trackRemoteLocked(a, host, fleetMachine.Zone)
 		}
 	}
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -20,7 +20,7 @@
 			s.resolveJobLocked(a.Job)
 			return
 		}
-		a.Describe(&record.Job, s.effectivePriorityOf(record))
+		a.SetJobDetails(&record.Job, s.effectivePriorityOf(record))
 		a.Hosted = true
 		s.updateOpenLocked(m)
 		return
@@ -29,7 +29,7 @@
 	if earlier := s.remoteAttempts.Get(a.Key); earlier != nil {
 		s.untrackRemoteLocked(earlier) // the machine belonged to another scheduler before
 	}
-	a.Describe(&queued.Record.Job, queued.EffectivePriority)
+	a.SetJobDetails(&queued.Record.Job, queued.EffectivePriority)
 	if a.Exited() {
 		return
 	}
@@ -198,6 +198,6 @@
 func (s *Scheduler) newAttempt(queued *queue.Job, index int) *fleet.Attempt {
 	j := &queued.Record.Job
 	a := &fleet.Attempt{Key: fleet.Key{Task: wire.TaskID(j.ID, index), Attempt: s.attemptNumbers.Next(s.epoch.Token)}, Job: j.ID, Index: index}
-	a.Describe(j, queued.EffectivePriority)
+	a.SetJobDetails(j, queued.EffectivePriority)
 	return a
 }
--- a/internal/scheduler/hosting.go
+++ b/internal/scheduler/hosting.go
@@ -162,7 +162,7 @@
 func (s *Scheduler) hostAttemptLocked(r *jobRequest, attempt *peerpb.Attempt, index int, m *machine, now time.Time) {
 	id := r.wanted.Job
 	a := &fleet.Attempt{Key: remote.KeyOf(attempt), Job: id, Index: index, Hosted: true, Epoch: s.epoch.Token}
-	a.Describe(&r.record.Job, r.job.EffectivePriority)
+	a.SetJobDetails(&r.record.Job, r.job.EffectivePriority)
 	m.Add(a, now)
 	m.packing.RoomChanged()
 	m.record.Dirty = true
