--- a/internal/fleet/attemptnumbers.go
+++ b/internal/fleet/attemptnumbers.go
@@ -23,8 +23,8 @@
 	return n.last
 }
 
-// Left returns how many numbers there are under the token.
-func (n *AttemptNumbers) Left(token uint64) uint64 {
+// Remaining returns how many numbers there are under the token.
+func (n *AttemptNumbers) Remaining(token uint64) uint64 {
 	end := (token + 1) << AttemptBits
 	return end - min(end, max(n.last+1, token<<AttemptBits))
 }
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -187,7 +187,7 @@
 // ensureAttemptNumbersLocked reports whether enough attempt numbers are left under the
 // fencing token to place tasks. It raises the token when few are left.
 func (s *Scheduler) ensureAttemptNumbersLocked(now time.Time) bool {
-	left := s.attemptNumbers.Left(s.epoch.Token)
+	left := s.attemptNumbers.Remaining(s.epoch.Token)
 	if left < fleet.FewAttemptNumbers {
 		s.raiseTokenLocked(now)
 	}
