--- a/internal/fleet/attemptnumbers.go
+++ b/internal/fleet/attemptnumbers.go
@@ -5,8 +5,8 @@
 const AttemptBits = 20
 
 const (
-	// FewAttemptNumbers is with how many numbers left another token is asked for.
-	FewAttemptNumbers = 1 << (AttemptBits - 2)
+	// LowAttemptNumbers is with how many numbers left another token is asked for.
+	LowAttemptNumbers = 1 << (AttemptBits - 2)
 	// MinAttemptNumbers is with how many numbers left something may still be
 	// placed: more than one pass over the largest fleet places.
 	MinAttemptNumbers = 1 << (AttemptBits - 3)
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -188,7 +188,7 @@
 // fencing token to place tasks. It raises the token when few are left.
 func (s *Scheduler) ensureAttemptNumbersLocked(now time.Time) bool {
 	left := s.attemptNumbers.Remaining(s.epoch.Token)
-	if left < fleet.FewAttemptNumbers {
+	if left < fleet.LowAttemptNumbers {
 		s.raiseTokenLocked(now)
 	}
 	return left >= fleet.MinAttemptNumbers
