--- a/cmd/heronwick/runcommand.go
+++ b/cmd/heronwick/runcommand.go
@@ -87,7 +87,7 @@
 	g.Go(func() error { return c.server.Serve(ctx, listeners.clients) })
 	g.Go(func() error { return peerService.Serve(ctx, listeners.peers) })
 	g.Go(func() error { return c.run(ctx) })
-	g.Go(func() error { return wait.Every(ctx, trimInterval, workers.Trim) })
+	g.Go(func() error { return wait.Every(ctx, trimInterval, workers.TrimConnections) })
 	g.Go(func() error { return c.overload.Run(ctx) })
 	g.Go(func() error { return c.resignOnShutdown(ctx, shutdown) })
 	return g.Wait()
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -71,9 +71,9 @@
 	return float64(c.open.Load())+float64(c.others()) < part*float64(c.sockets)
 }
 
-// Trim closes idle connections once sockets run short: a takeover opens one to each
+// TrimConnections closes idle connections once sockets run short: a takeover opens one to each
 // worker, and then the workers open theirs.
-func (c *Client) Trim() {
+func (c *Client) TrimConnections() {
 	if !c.socketsBelow(keepThreshold) {
 		c.http.CloseIdleConnections()
 	}
