--- a/internal/checkpoint/writebucket.go
+++ b/internal/checkpoint/writebucket.go
@@ -61,7 +61,7 @@
 	size := 0
 	for name, r := range b.leftover {
 		if b.machines[name] == nil {
-			size += r.Size(name)
+			size += r.MaxBytes(name)
 		}
 	}
 	var moving []*Machine
@@ -78,7 +78,7 @@
 	}
 	kept := 0
 	for name, r := range b.leftover {
-		kept += r.Size(name)
+		kept += r.MaxBytes(name)
 	}
 	for _, m := range b.machines {
 		kept += w.recordSize(m)
@@ -123,7 +123,7 @@
 // recordSize is how much the machine's record takes of a bucket at most.
 func (w *Writer) recordSize(m *Machine) int {
 	r := w.record(m, func(*fleet.Attempt) bool { return false })
-	return r.Size(m.Name)
+	return r.MaxBytes(m.Name)
 }
 
 // bucketContent is what a bucket is to hold.
--- a/internal/checkpoint/writejournal.go
+++ b/internal/checkpoint/writejournal.go
@@ -130,7 +130,7 @@
 	}
 	for m, r := range w.extracts(journal) {
 		c.Machines[m.Name] = r
-		c.size += r.Size(m.Name)
+		c.size += r.MaxBytes(m.Name)
 	}
 	return c
 }
--- a/internal/fleet/recordsize.go
+++ b/internal/fleet/recordsize.go
@@ -2,9 +2,9 @@
 
 import "strconv"
 
-// Size returns at most how many bytes the record takes of a value, under a machine's
+// MaxBytes returns at most how many bytes the record takes of a value, under a machine's
 // name.
-func (r *Record) Size(name string) int {
+func (r *Record) MaxBytes(name string) int {
 	size := RecordBytes(name) + placeBytes(r.Address, r.Type, r.Zone)
 	for task, attempt := range r.Attempts {
 		size += AttemptBytes(task, attempt)
