--- a/internal/checkpoint/machine.go
+++ b/internal/checkpoint/machine.go
@@ -31,7 +31,7 @@
 // extractSize is what the machine's record takes of a journal besides its
 // attempts.
 func (m *Machine) extractSize() int {
-	size := fleet.RecordBytes(m.Name)
+	size := fleet.BaseRecordBytes(m.Name)
 	if !m.inBucket() {
 		size += m.PlaceBytes()
 	}
--- a/internal/fleet/recordsize.go
+++ b/internal/fleet/recordsize.go
@@ -5,7 +5,7 @@
 // MaxBytes returns at most how many bytes the record takes of a value, under a machine's
 // name.
 func (r *Record) MaxBytes(name string) int {
-	size := RecordBytes(name) + placeBytes(r.Address, r.Type, r.Zone)
+	size := BaseRecordBytes(name) + placeBytes(r.Address, r.Type, r.Zone)
 	for task, attempt := range r.Attempts {
 		size += AttemptBytes(task, attempt)
 	}
@@ -25,9 +25,9 @@
 	maxDigits     = 20
 )
 
-// RecordBytes returns at most how many bytes a machine's record takes of a value
+// BaseRecordBytes returns at most how many bytes a machine's record takes of a value
 // besides its place, attempts and images.
-func RecordBytes(name string) int { return recordSyntax + len(name) }
+func BaseRecordBytes(name string) int { return recordSyntax + len(name) }
 
 // AttemptBytes returns how many bytes an attempt takes of a value.
 func AttemptBytes(task string, attempt uint64) int {
