--- a/internal/checkpoint/machine.go
+++ b/internal/checkpoint/machine.go
@@ -33,7 +33,7 @@
 func (m *Machine) extractSize() int {
 	size := fleet.BaseRecordBytes(m.Name)
 	if !m.inBucket() {
-		size += m.PlaceBytes()
+		size += m.LocationBytes()
 	}
 	return size
 }
--- a/internal/fleet/recordsize.go
+++ b/internal/fleet/recordsize.go
@@ -38,9 +38,9 @@
 	return placeSyntax + len(address) + len(machineType) + len(zone)
 }
 
-// PlaceBytes returns how many bytes the machine's address, type and zone take of a
+// LocationBytes returns how many bytes the machine's address, type and zone take of a
 // value.
-func (m *Machine) PlaceBytes() int { return placeBytes(m.Address, m.TypeName, m.Zone) }
+func (m *Machine) LocationBytes() int { return placeBytes(m.Address, m.TypeName, m.Zone) }
 
 func (i ImageRecord) bytes() int { return imageSyntax + len(i.Name) + maxDigits }
 
