--- a/internal/fleet/recordsize.go
+++ b/internal/fleet/recordsize.go
@@ -44,9 +44,9 @@
 
 func (i ImageRecord) bytes() int { return imageSyntax + len(i.Name) + maxDigits }
 
-// KeepImages drops the least recently used images until the rest takes at most
+// LimitImages drops the least recently used images until the rest takes at most
 // maxBytes: which images a machine has is a hint only.
-func (r *Record) KeepImages(maxBytes int) {
+func (r *Record) LimitImages(maxBytes int) {
 	size := 0
 	for i, image := range r.Images {
 		if size += image.bytes(); size > maxBytes {
--- a/internal/ownership/transfers.go
+++ b/internal/ownership/transfers.go
@@ -86,7 +86,7 @@
 // limit bytes.
 func Encode(m *fleet.Machine, limit int) (json.RawMessage, error) {
 	record := m.TransferRecord()
-	record.KeepImages(limit / imagesDivisor)
+	record.LimitImages(limit / imagesDivisor)
 	return json.Marshal(record)
 }
 
