--- a/internal/checkpoint/table.go
+++ b/internal/checkpoint/table.go
@@ -45,10 +45,10 @@
 	t.scatter(m, on...)
 }
 
-// Leave takes a machine that is no longer the scheduler's off its bucket. Until the
+// RemoveMachine takes a machine that is no longer the scheduler's off its bucket. Until the
 // bucket is written again its record there is outdated, which is safe: whoever reads
 // it asks the machine's owner or its worker.
-func (t *Table) Leave(m *Machine) {
+func (t *Table) RemoveMachine(m *Machine) {
 	if m.bucket != nil {
 		delete(m.bucket.machines, m.Name)
 		m.bucket.untidy = m.bucket.untidy || m.bucket.version > 0
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -134,7 +134,7 @@
 		batch.machines = append(batch.machines, m)
 		batch.records[m.Name] = record
 		s.packer.Open.Close(m.packing)
-		s.checkpoints.Leave(&m.record)
+		s.checkpoints.RemoveMachine(&m.record)
 		delete(s.machines, m.Name)
 		s.transfers.BeginMove(m.Name)
 	}
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -135,7 +135,7 @@
 func (s *Scheduler) removeReleasedLocked(m *machine) {
 	s.handleEventsLocked(m, m.MarkReleased())
 	s.packer.Open.Close(m.packing)
-	s.checkpoints.Leave(&m.record)
+	s.checkpoints.RemoveMachine(&m.record)
 	delete(s.machines, m.Name)
 	if _, named := s.opts.Authority.OwnerOf(m.Name); named {
 		// A controller that takes over this scheduler's machines must not expect this one
