--- a/internal/checkpoint/bucket.go
+++ b/internal/checkpoint/bucket.go
@@ -33,16 +33,16 @@
 // IsJournal reports whether the bucket is a journal, of whatever scheduler.
 func (b *Bucket) IsJournal() bool { return fleet.IsJournal(b.key) }
 
-// Keep keeps what the bucket says of a machine that belongs on another one, until
+// Retain keeps what the bucket says of a machine that belongs on another one, until
 // that one has been written.
-func (b *Bucket) Keep(machine string, r fleet.Record) {
+func (b *Bucket) Retain(machine string, r fleet.Record) {
 	if b.leftover == nil {
 		b.leftover = map[string]fleet.Record{}
 	}
 	b.leftover[machine] = r
 }
 
-// Kept returns what Keep has kept of a machine; ok is false if that is nothing.
+// Kept returns what Retain has kept of a machine; ok is false if that is nothing.
 func (b *Bucket) Kept(machine string) (r fleet.Record, ok bool) {
 	r, ok = b.leftover[machine]
 	return r, ok
--- a/internal/checkpoint/writebucket.go
+++ b/internal/checkpoint/writebucket.go
@@ -102,7 +102,7 @@
 			continue
 		}
 		if _, ok := from.Kept(m.Name); !ok {
-			from.Keep(m.Name, w.record(m, func(a *fleet.Attempt) bool { return !a.Recorded }))
+			from.Retain(m.Name, w.record(m, func(a *fleet.Attempt) bool { return !a.Recorded }))
 		}
 		if !slices.Contains(m.elsewhere, from) {
 			w.scatter(m, from)
--- a/internal/scheduler/adoption.go
+++ b/internal/scheduler/adoption.go
@@ -98,7 +98,7 @@
 	}
 	adopted.buckets = append(adopted.buckets, bucket)
 	if len(adopted.buckets) > 1 || bucket.IsJournal() {
-		bucket.Keep(name, record)
+		bucket.Retain(name, record)
 	}
 }
 
