--- a/internal/checkpoint/bucketwrite.go
+++ b/internal/checkpoint/bucketwrite.go
@@ -169,7 +169,7 @@
 	}
 	for _, failed := range conflict.Failed {
 		if id, ok := job.ActiveJobID(failed); ok {
-			w.scheduler.DropUnsent(id, maps.Keys(write.attempts))
+			w.scheduler.DropUnsentAttempts(id, maps.Keys(write.attempts))
 		}
 	}
 }
--- a/internal/checkpoint/scheduler.go
+++ b/internal/checkpoint/scheduler.go
@@ -41,9 +41,9 @@
 	DropStaleHosted(m *Machine)
 	// Recorded tells that attempts on the machine are recorded: they may start.
 	Recorded(m *Machine)
-	// DropUnsent tells that a job is over: none of its attempts on these machines
+	// DropUnsentAttempts tells that a job is over: none of its attempts on these machines
 	// that was not recorded may start.
-	DropUnsent(job string, on iter.Seq[*Machine])
+	DropUnsentAttempts(job string, on iter.Seq[*Machine])
 }
 
 // Committer writes to the store; several writes may be committed together. It
--- a/internal/scheduler/checkpoints.go
+++ b/internal/scheduler/checkpoints.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// DropUnsent implements checkpoint.Scheduler.
-func (s checkpointScheduler) DropUnsent(id string, machines iter.Seq[*checkpoint.Machine]) {
+// DropUnsentAttempts implements checkpoint.Scheduler.
+func (s checkpointScheduler) DropUnsentAttempts(id string, machines iter.Seq[*checkpoint.Machine]) {
 	for m := range machines {
 		for _, a := range m.Attempts.All() {
 			if a.Job == id && a.NeverSent() {
