--- a/internal/checkpoint/scheduler.go
+++ b/internal/checkpoint/scheduler.go
@@ -37,8 +37,8 @@
 
 	// Job returns the record of a job that is known to be active, else nil.
 	Job(id string) *job.Record
-	// DropStaleHosted removes hosted attempts that must not be recorded any more.
-	DropStaleHosted(m *Machine)
+	// DropStaleHostedAttempts removes hosted attempts that must not be recorded any more.
+	DropStaleHostedAttempts(m *Machine)
 	// Recorded tells that attempts on the machine are recorded: they may start.
 	Recorded(m *Machine)
 	// DropUnsentAttempts tells that a job is over: none of its attempts on these machines
--- a/internal/checkpoint/writebucket.go
+++ b/internal/checkpoint/writebucket.go
@@ -13,7 +13,7 @@
 // written once those hold what it held.
 func (w *Writer) writeBucket(b *Bucket, priority state.Priority) {
 	for _, m := range b.machines {
-		w.scheduler.DropStaleHosted(m)
+		w.scheduler.DropStaleHostedAttempts(m)
 	}
 	if b.empty() {
 		w.deleteBucket(b, priority)
--- a/internal/checkpoint/writejournal.go
+++ b/internal/checkpoint/writejournal.go
@@ -93,7 +93,7 @@
 	write.journal = true
 	content := w.journalContent(journal)
 	for _, m := range dirty {
-		w.scheduler.DropStaleHosted(m)
+		w.scheduler.DropStaleHostedAttempts(m)
 		m.Dirty = false
 		for _, a := range m.Attempts.All() {
 			if a.Recorded || a.Exited() {
--- a/internal/scheduler/checkpoints.go
+++ b/internal/scheduler/checkpoints.go
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// DropStaleHosted implements checkpoint.Scheduler.
-func (s checkpointScheduler) DropStaleHosted(m *checkpoint.Machine) {
+// DropStaleHostedAttempts implements checkpoint.Scheduler.
+func (s checkpointScheduler) DropStaleHostedAttempts(m *checkpoint.Machine) {
 	if owned := s.owned(m); owned != nil {
 		s.dropStaleHostedLocked(owned)
 	}
