--- a/internal/checkpoint/bucketwrite.go
+++ b/internal/checkpoint/bucketwrite.go
@@ -144,7 +144,7 @@
 				write.bucket.journaled[m] = true
 			}
 		}
-		w.scheduler.Recorded(m)
+		w.scheduler.AttemptsRecorded(m)
 	}
 	for _, a := range write.moved {
 		a.Journal, a.InBucket = "", true
--- a/internal/checkpoint/scheduler.go
+++ b/internal/checkpoint/scheduler.go
@@ -39,8 +39,8 @@
 	Job(id string) *job.Record
 	// DropStaleHostedAttempts removes hosted attempts that must not be recorded any more.
 	DropStaleHostedAttempts(m *Machine)
-	// Recorded tells that attempts on the machine are recorded: they may start.
-	Recorded(m *Machine)
+	// AttemptsRecorded tells that attempts on the machine are recorded: they may start.
+	AttemptsRecorded(m *Machine)
 	// DropUnsentAttempts tells that a job is over: none of its attempts on these machines
 	// that was not recorded may start.
 	DropUnsentAttempts(job string, on iter.Seq[*Machine])
--- a/internal/scheduler/checkpoints.go
+++ b/internal/scheduler/checkpoints.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// Recorded implements checkpoint.Scheduler.
-func (s checkpointScheduler) Recorded(m *checkpoint.Machine) {
+// AttemptsRecorded implements checkpoint.Scheduler.
+func (s checkpointScheduler) AttemptsRecorded(m *checkpoint.Machine) {
 	if owned := s.owned(m); owned != nil {
 		s.sendCommandsLocked(owned)
 	}
