--- a/internal/checkpoint/limit.go
+++ b/internal/checkpoint/limit.go
@@ -46,9 +46,9 @@
 	return max(leastValueLimit, l.settings.MaxValueBytes-valueSlack-l.reduced)
 }
 
-// NoteRejected makes values smaller if err is that the store rejected one: its
+// LowerIfRejected makes values smaller if err is that the store rejected one: its
 // limits are lower than the settings say.
-func (l *ValueLimit) NoteRejected(err error) {
+func (l *ValueLimit) LowerIfRejected(err error) {
 	if !errors.Is(err, state.ErrRejected) {
 		return
 	}
--- a/internal/scheduler/completions.go
+++ b/internal/scheduler/completions.go
@@ -44,7 +44,7 @@
 }
 
 // NoteRejected implements completion.Scheduler.
-func (s completionScheduler) NoteRejected(err error) { s.valueLimit.NoteRejected(err) }
+func (s completionScheduler) NoteRejected(err error) { s.valueLimit.LowerIfRejected(err) }
 
 // completionOf returns which tasks of a job are done, or nil if it is not one of this
 // scheduler's own jobs.
