--- a/internal/checkpoint/writer.go
+++ b/internal/checkpoint/writer.go
@@ -102,9 +102,9 @@
 // they name only makes a takeover read more.
 const tidyFullInterval = time.Minute
 
-// Tidy writes the buckets that name machines which are no longer here,
+// RewriteStaleBuckets writes the buckets that name machines which are no longer here,
 // and removes those that name none that are.
-func (w *Writer) Tidy(now time.Time) {
+func (w *Writer) RewriteStaleBuckets(now time.Time) {
 	for _, b := range w.buckets {
 		if b.untidy && b.writable() && !w.ownsJournal(b) && (b.empty() || now.Sub(b.written) > tidyFullInterval) {
 			w.writeBucket(b, state.Background)
--- a/internal/scheduler/checkpoints.go
+++ b/internal/scheduler/checkpoints.go
@@ -41,7 +41,7 @@
 // from the store.
 func (s *Scheduler) tidyRecordsLocked(now time.Time) {
 	if s.loaded && s.currentLocked() {
-		s.checkpoints.Tidy(now)
+		s.checkpoints.RewriteStaleBuckets(now)
 	}
 }
 
