--- a/internal/checkpoint/machine.go
+++ b/internal/checkpoint/machine.go
@@ -16,8 +16,8 @@
 // Pending reports whether something of the machine must be written.
 func (m *Machine) Pending() bool { return m.Dirty || m.due }
 
-// Writing reports whether a record of the machine is on its way.
-func (m *Machine) Writing() bool { return m.bucket != nil && m.bucket.committing }
+// WriteInFlight reports whether a record of the machine is on its way.
+func (m *Machine) WriteInFlight() bool { return m.bucket != nil && m.bucket.committing }
 
 // inBucket reports whether a bucket in the store has the machine's record.
 func (m *Machine) inBucket() bool { return m.bucket != nil && m.bucket.version > 0 }
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -90,7 +90,7 @@
 	}
 	var idle []autoscale.IdleMachine
 	for _, m := range s.machines {
-		if m.returning || m.ActiveCount() > 0 || m.Attempts.Len() > 0 || m.record.Dirty || m.record.Writing() || !s.synced(m) {
+		if m.returning || m.ActiveCount() > 0 || m.Attempts.Len() > 0 || m.record.Dirty || m.record.WriteInFlight() || !s.synced(m) {
 			continue
 		}
 		idle = append(idle, autoscale.IdleMachine{Name: m.Name, Since: m.idleSince})
