--- a/cmd/heronwick/duties.go
+++ b/cmd/heronwick/duties.go
@@ -13,7 +13,7 @@
 // acquired or recorded, but other controllers' intents to return machines are
 // respected.
 type duties struct {
-	ledger  *duty.Ledger
+	ledger  *duty.RecordCache
 	keeper  *duty.Keeper
 	actions *duty.Actions
 	history *duty.History
@@ -21,13 +21,13 @@
 
 // newDuties makes the duties of a controller whose client and committer are there.
 func newDuties(c *controller) duties {
-	d := duties{ledger: duty.NewLedger(c.log), history: duty.NewHistory()}
+	d := duties{ledger: duty.NewRecordCache(c.log), history: duty.NewHistory()}
 	d.keeper = duty.NewKeeper(duty.KeeperOptions{
 		Node:        c.settings.Node,
 		Incarnation: rand.Uint64(),
 		Lease:       c.settings.DutyLease,
 		Store:       c.client,
-		Ledger:      d.ledger,
+		Cache:       d.ledger,
 		Ready:       func() bool { return c.members.Supports(cluster.LevelDuties) },
 		Membership:  c.dutyMembership,
 		MaxChanges:  c.settings.MaxTxnOps,
@@ -38,7 +38,7 @@
 		Node:          c.settings.Node,
 		Provider:      c.external.cloud,
 		Keeper:        d.keeper,
-		Ledger:        d.ledger,
+		Cache:         d.ledger,
 		Committer:     c.committer,
 		Membership:    c.dutyMembership,
 		MaxValueBytes: c.settings.MaxValueBytes,
--- a/internal/duty/acquire.go
+++ b/internal/duty/acquire.go
@@ -36,7 +36,7 @@
 	txn := wire.Txn{If: []wire.Condition{m.Epoch, {Key: sessionKey(k.opts.Node), Version: s.version}}}
 	record := encode(holderRecord{Node: k.opts.Node, Since: m.Since, Session: s.version})
 	for _, id := range ids {
-		h := k.opts.Ledger.holderOf(id)
+		h := k.opts.Cache.holderOf(id)
 		if k.isOwn(h, s, m) {
 			continue
 		}
@@ -65,7 +65,7 @@
 	case h.Node == k.opts.Node, !m.current(h.Node, h.Since):
 		return nil, true // the own session and the epoch are conditions of every acquisition
 	}
-	seen := k.opts.Ledger.sessionOf(h.Node)
+	seen := k.opts.Cache.sessionOf(h.Node)
 	if seen == h.Session {
 		return nil, false
 	}
@@ -85,7 +85,7 @@
 	k.mu.Unlock()
 	txn := wire.Txn{}
 	for _, id := range ids {
-		h := k.opts.Ledger.holderOf(id)
+		h := k.opts.Cache.holderOf(id)
 		if h.Node != k.opts.Node || h.Session != s.version {
 			continue
 		}
@@ -126,7 +126,7 @@
 // can be decoded. The duty is then acquired under a higher token, and intents under the
 // record's token are completed like those of any earlier holder.
 func (k *Keeper) Clear(ctx context.Context, id ID) error {
-	h := k.opts.Ledger.holderOf(id)
+	h := k.opts.Cache.holderOf(id)
 	if !h.corrupt {
 		return fmt.Errorf("%w: %s", ErrNotCorrupt, id)
 	}
--- a/internal/duty/actions.go
+++ b/internal/duty/actions.go
@@ -43,7 +43,7 @@
 	Node          string
 	Provider      Provider
 	Keeper        *Keeper
-	Ledger        *Ledger
+	Cache         *RecordCache
 	Committer     Committer
 	Membership    func() Membership
 	MaxValueBytes int // the store's limit of a value's size
@@ -71,10 +71,10 @@
 // Unguarded returns Actions with duties off: every action is permitted, and no intent is
 // recorded.
 func Unguarded(provider Provider, log *slog.Logger) *Actions {
-	ledger, history := NewLedger(log), NewHistory()
-	keeper := NewKeeper(KeeperOptions{Ledger: ledger, History: history, Log: log})
+	ledger, history := NewRecordCache(log), NewHistory()
+	keeper := NewKeeper(KeeperOptions{Cache: ledger, History: history, Log: log})
 	return NewActions(ActionsOptions{
-		Provider: provider, Keeper: keeper, Ledger: ledger, History: history, Log: log,
+		Provider: provider, Keeper: keeper, Cache: ledger, History: history, Log: log,
 		Membership: func() Membership { return Membership{} }, MaxValueBytes: math.MaxInt,
 	})
 }
@@ -161,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	a.opts.Ledger.applyWrite(key, value, version)
+	a.opts.Cache.applyWrite(key, value, version)
 	return nil
 }
 
@@ -179,7 +179,7 @@
 		a.opts.Log.Debug("closing an intent failed", "key", key, "err", err)
 		return false
 	}
-	a.opts.Ledger.applyRemoval(key, version)
+	a.opts.Cache.applyRemoval(key, version)
 	a.recordEvent(EventClosed, guard.id, wire.DutyEvent{Token: guard.token, Count: count})
 	return true
 }
--- a/internal/duty/ledger.go
+++ b/internal/duty/cache.go
@@ -10,10 +10,10 @@
 	"heronwick/wire"
 )
 
-// Ledger mirrors the duties and intents in the store, as far as this controller has seen
+// RecordCache mirrors the duties and intents in the store, as far as this controller has seen
 // them. It is fed by the same watch as the epoch, takes no decisions, and is safe for
 // concurrent use.
-type Ledger struct {
+type RecordCache struct {
 	log *slog.Logger
 
 	mu       sync.Mutex
@@ -39,81 +39,81 @@
 	corrupt bool // the record cannot be decoded
 }
 
-// NewLedger returns an empty Ledger.
-func NewLedger(log *slog.Logger) *Ledger {
-	return &Ledger{log: log, entries: map[string]entry{}, holders: map[ID]holder{}, sessions: map[string]uint64{}, machines: map[string]string{}}
+// NewRecordCache returns an empty RecordCache.
+func NewRecordCache(log *slog.Logger) *RecordCache {
+	return &RecordCache{log: log, entries: map[string]entry{}, holders: map[ID]holder{}, sessions: map[string]uint64{}, machines: map[string]string{}}
 }
 
 // Replace takes a listing of all keys as of a revision. Newer entries stay.
-func (l *Ledger) Replace(items []wire.Item, revision uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (c *RecordCache) Replace(items []wire.Item, revision uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	listed := map[string]bool{}
 	for _, item := range items {
 		if isDutyKey(item.Key) {
 			listed[item.Key] = true
-			l.putLocked(item.Key, item.Value, item.Version)
+			c.putLocked(item.Key, item.Value, item.Version)
 		}
 	}
-	for key, e := range l.entries {
+	for key, e := range c.entries {
 		if !listed[key] && e.version <= revision {
-			l.deleteLocked(key)
+			c.deleteLocked(key)
 		}
 	}
-	l.revision = max(l.revision, revision)
+	c.revision = max(c.revision, revision)
 }
 
 // Apply takes all events of a watch up to a revision.
-func (l *Ledger) Apply(events []wire.Event, revision uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (c *RecordCache) Apply(events []wire.Event, revision uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, e := range events {
 		switch {
 		case !isDutyKey(e.Put + e.Delete):
 		case e.Put != "":
-			l.putLocked(e.Put, e.Value, e.Version)
-		case l.entries[e.Delete].version < e.Version:
-			l.deleteLocked(e.Delete)
+			c.putLocked(e.Put, e.Value, e.Version)
+		case c.entries[e.Delete].version < e.Version:
+			c.deleteLocked(e.Delete)
 		}
 	}
-	l.revision = max(l.revision, revision)
+	c.revision = max(c.revision, revision)
 }
 
 // applyWrite takes a key that this controller has written before the watch delivers it.
-func (l *Ledger) applyWrite(key string, value json.RawMessage, version uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.putLocked(key, value, version)
+func (c *RecordCache) applyWrite(key string, value json.RawMessage, version uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.putLocked(key, value, version)
 }
 
 // applyRemoval takes a key's removal by this controller, which removed that version.
-func (l *Ledger) applyRemoval(key string, version uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.entries[key].version == version {
-		l.deleteLocked(key)
+func (c *RecordCache) applyRemoval(key string, version uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.entries[key].version == version {
+		c.deleteLocked(key)
 	}
 }
 
 // putLocked replaces a key's entry unless it is as new.
-func (l *Ledger) putLocked(key string, value json.RawMessage, version uint64) {
-	if version <= l.entries[key].version {
+func (c *RecordCache) putLocked(key string, value json.RawMessage, version uint64) {
+	if version <= c.entries[key].version {
 		return
 	}
-	l.deleteLocked(key)
+	c.deleteLocked(key)
 	e := entry{version: version}
 	var err error
 	switch {
 	case strings.HasPrefix(key, holderPrefix):
-		err = l.putHolderLocked(strings.TrimPrefix(key, holderPrefix), value, version)
+		err = c.putHolderLocked(strings.TrimPrefix(key, holderPrefix), value, version)
 	case strings.HasPrefix(key, sessionPrefix):
-		l.sessions[strings.TrimPrefix(key, sessionPrefix)] = version
+		c.sessions[strings.TrimPrefix(key, sessionPrefix)] = version
 	case strings.HasPrefix(key, returnPrefix):
 		e.returnIntent = &returnRecord{}
 		err = json.Unmarshal(value, e.returnIntent)
 		// What could be decoded of a corrupt record counts: its machines may be returned.
 		for _, machine := range e.returnIntent.Machines {
-			l.machines[machine] = key
+			c.machines[machine] = key
 		}
 	case strings.HasPrefix(key, rentalPrefix):
 		e.rentalIntent = &rentalRecord{}
@@ -121,13 +121,13 @@
 	}
 	if err != nil {
 		e.rentalIntent = nil
-		l.log.Error("duty record cannot be decoded and is never treated as free", "key", key, "version", version, "err", err)
+		c.log.Error("duty record cannot be decoded and is never treated as free", "key", key, "version", version, "err", err)
 	}
-	l.entries[key] = e
+	c.entries[key] = e
 }
 
 // putHolderLocked indexes the holder record of the duty called name.
-func (l *Ledger) putHolderLocked(name string, value json.RawMessage, version uint64) error {
+func (c *RecordCache) putHolderLocked(name string, value json.RawMessage, version uint64) error {
 	id, err := ParseID(name)
 	if err != nil {
 		return err
@@ -135,49 +135,49 @@
 	h := holder{token: version}
 	err = json.Unmarshal(value, &h.holderRecord)
 	h.corrupt = err != nil
-	l.holders[id] = h
+	c.holders[id] = h
 	return err
 }
 
 // deleteLocked removes a key's entry and what is indexed of it.
-func (l *Ledger) deleteLocked(key string) {
+func (c *RecordCache) deleteLocked(key string) {
 	switch {
 	case strings.HasPrefix(key, holderPrefix):
 		if id, err := ParseID(strings.TrimPrefix(key, holderPrefix)); err == nil {
-			delete(l.holders, id)
+			delete(c.holders, id)
 		}
 	case strings.HasPrefix(key, sessionPrefix):
-		delete(l.sessions, strings.TrimPrefix(key, sessionPrefix))
+		delete(c.sessions, strings.TrimPrefix(key, sessionPrefix))
 	case strings.HasPrefix(key, returnPrefix):
-		maps.DeleteFunc(l.machines, func(_, by string) bool { return by == key })
+		maps.DeleteFunc(c.machines, func(_, by string) bool { return by == key })
 	}
-	delete(l.entries, key)
+	delete(c.entries, key)
 }
 
 // holderOf returns the holder of a duty.
-func (l *Ledger) holderOf(id ID) holder {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.holders[id]
+func (c *RecordCache) holderOf(id ID) holder {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.holders[id]
 }
 
 // allHolders returns the holders of all duties that have a record.
-func (l *Ledger) allHolders() map[ID]holder {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return maps.Clone(l.holders)
+func (c *RecordCache) allHolders() map[ID]holder {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return maps.Clone(c.holders)
 }
 
 // sessionOf returns the version of a node's session key; 0 if it has none.
-func (l *Ledger) sessionOf(node string) uint64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.sessions[node]
+func (c *RecordCache) sessionOf(node string) uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.sessions[node]
 }
 
 // hasSeen reports whether everything up to a revision has been seen.
-func (l *Ledger) hasSeen(revision uint64) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.revision >= revision
+func (c *RecordCache) hasSeen(revision uint64) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.revision >= revision
 }
--- a/internal/duty/guard.go
+++ b/internal/duty/guard.go
@@ -50,7 +50,7 @@
 	if !k.Active() {
 		return Guard{unfenced: true}, nil
 	}
-	h := k.opts.Ledger.holderOf(id)
+	h := k.opts.Cache.holderOf(id)
 	if err := k.check(id, h.token); err != nil {
 		return Guard{}, err
 	}
@@ -61,14 +61,14 @@
 // its holder record, and so everything written before, and the lease cannot have expired.
 func (k *Keeper) check(id ID, token uint64) error {
 	membership := k.opts.Membership()
-	h := k.opts.Ledger.holderOf(id)
+	h := k.opts.Cache.holderOf(id)
 	s := k.currentSession()
 	switch {
 	case h.corrupt:
 		return fmt.Errorf("%w: %s", ErrCorrupt, id)
 	case h.token != token && token != 0 && h.Node != k.opts.Node:
 		return fmt.Errorf("%w: %s is held by %q", ErrReplaced, id, h.Node)
-	case h.token != token || !k.isOwn(h, s, membership) || k.opts.Ledger.sessionOf(k.opts.Node) != s.version:
+	case h.token != token || !k.isOwn(h, s, membership) || k.opts.Cache.sessionOf(k.opts.Node) != s.version:
 		return fmt.Errorf("%w: %s", ErrNotHeld, id)
 	case !s.valid(time.Now()):
 		return fmt.Errorf("%w: %s", ErrLeaseExpired, id)
--- a/internal/duty/intents.go
+++ b/internal/duty/intents.go
@@ -25,22 +25,22 @@
 }
 
 // HasReturnIntent reports whether an open intent returns a machine: no controller may place on it.
-func (l *Ledger) HasReturnIntent(machine string) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.machines[machine] != ""
+func (c *RecordCache) HasReturnIntent(machine string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.machines[machine] != ""
 }
 
 // Abandoned returns, sorted, the machines of open intents to return that only the leader
 // completes: their node is no longer a member, as current tells of a membership, or they
 // were recorded by an earlier holder of a duty for the fleet.
-func (l *Ledger) Abandoned(current func(node string, since uint64) bool) []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (c *RecordCache) Abandoned(current func(node string, since uint64) bool) []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var machines []string
-	for machine, key := range l.machines {
+	for machine, key := range c.machines {
 		owner, ok := state.OwnerOfKey(returnPrefix, key)
-		if !ok || !current(owner.Node, owner.Since) || l.supersededLocked(l.entries[key].returnIntent) {
+		if !ok || !current(owner.Node, owner.Since) || c.supersededLocked(c.entries[key].returnIntent) {
 			machines = append(machines, machine)
 		}
 	}
@@ -50,9 +50,9 @@
 
 // supersededLocked reports whether an intent was recorded by an earlier holder of a duty for
 // the fleet. A shard completes its own intents, whatever their token.
-func (l *Ledger) supersededLocked(intent *returnRecord) bool {
+func (c *RecordCache) supersededLocked(intent *returnRecord) bool {
 	id, err := ParseID(intent.Duty)
-	return err == nil && id.Scope == Fleet && l.holders[id].token != intent.Token
+	return err == nil && id.Scope == Fleet && c.holders[id].token != intent.Token
 }
 
 // OpenIntents counts intents that are not closed.
@@ -62,11 +62,11 @@
 }
 
 // OpenIntents counts the intents of all controllers that are not closed.
-func (l *Ledger) OpenIntents() OpenIntents {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (c *RecordCache) OpenIntents() OpenIntents {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var open OpenIntents
-	for _, e := range l.entries {
+	for _, e := range c.entries {
 		if e.returnIntent != nil {
 			open.Returns++
 		}
@@ -78,8 +78,8 @@
 }
 
 // openReturns returns the open intents to return, by key.
-func (l *Ledger) openReturns() []openReturn {
-	return sortedEntries(l, func(a, b openReturn) int { return strings.Compare(a.key, b.key) },
+func (c *RecordCache) openReturns() []openReturn {
+	return sortedEntries(c, func(a, b openReturn) int { return strings.Compare(a.key, b.key) },
 		func(key string, e entry) (openReturn, bool) {
 			if e.returnIntent == nil {
 				return openReturn{}, false
@@ -89,13 +89,13 @@
 }
 
 // openRentals returns the open intents to rent, the oldest first.
-func (l *Ledger) openRentals() []OpenRental {
-	return sortedEntries(l, func(a, b OpenRental) int { return cmp.Compare(a.version, b.version) }, newOpenRental)
+func (c *RecordCache) openRentals() []OpenRental {
+	return sortedEntries(c, func(a, b OpenRental) int { return cmp.Compare(a.version, b.version) }, newOpenRental)
 }
 
 // sortedEntries returns, in the order of compare, what convert makes of the ledger's
 // entries; it leaves out those for which convert returns false.
-func sortedEntries[T any](l *Ledger, compare func(a, b T) int, convert func(key string, e entry) (T, bool)) []T {
+func sortedEntries[T any](l *RecordCache, compare func(a, b T) int, convert func(key string, e entry) (T, bool)) []T {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var open []T
@@ -117,17 +117,17 @@
 }
 
 // openRental returns the open intent to rent at a key, if there is one.
-func (l *Ledger) openRental(key string) (OpenRental, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return newOpenRental(key, l.entries[key])
+func (c *RecordCache) openRental(key string) (OpenRental, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return newOpenRental(key, c.entries[key])
 }
 
 // hasRentalIntent reports whether a request is part of an open intent to rent.
-func (l *Ledger) hasRentalIntent(request string) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, e := range l.entries {
+func (c *RecordCache) hasRentalIntent(request string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, e := range c.entries {
 		if e.rentalIntent != nil && slices.ContainsFunc(e.rentalIntent.Requests, func(r wire.RentRequest) bool { return r.Request == request }) {
 			return true
 		}
--- a/internal/duty/keeper.go
+++ b/internal/duty/keeper.go
@@ -42,7 +42,7 @@
 	Incarnation uint64        // differs each time that the controller starts
 	Lease       time.Duration // of the duties; 0: duties are off
 	Store       Store
-	Ledger      *Ledger
+	Cache       *RecordCache
 	// Ready reports whether all controllers can decode what is stored for duties.
 	Ready      func() bool
 	Membership func() Membership
@@ -171,7 +171,7 @@
 
 // recordHeldLocked does what recordHeld does for one duty.
 func (k *Keeper) recordHeldLocked(id ID, now time.Time) {
-	h := k.opts.Ledger.holderOf(id)
+	h := k.opts.Cache.holderOf(id)
 	previous := k.held[id]
 	holds := h.Node == k.opts.Node && h.Session == k.session.version && !h.corrupt
 	switch {
--- a/internal/duty/report.go
+++ b/internal/duty/report.go
@@ -12,7 +12,7 @@
 func (k *Keeper) Report() wire.Duties {
 	report := wire.Duties{
 		Node: k.opts.Node, Active: k.Active(), LeaseS: k.opts.Lease.Seconds(),
-		Duties: k.reportDuties(), Returns: k.opts.Ledger.reportReturns(), Rentals: k.opts.Ledger.reportRentals(),
+		Duties: k.reportDuties(), Returns: k.opts.Cache.reportReturns(), Rentals: k.opts.Cache.reportRentals(),
 		Events: k.opts.History.Events(), Counts: map[string]int{},
 	}
 	for _, kind := range Kinds() {
@@ -24,7 +24,7 @@
 // reportDuties lists the duties by ID.
 func (k *Keeper) reportDuties() []wire.Duty {
 	duties := []wire.Duty{}
-	for id, h := range k.opts.Ledger.allHolders() {
+	for id, h := range k.opts.Cache.allHolders() {
 		duties = append(duties, wire.Duty{ID: id.String(), Holder: h.Node, Token: h.token, Corrupt: h.corrupt, Leader: k.check(id, h.token) == nil})
 	}
 	slices.SortFunc(duties, func(a, b wire.Duty) int { return strings.Compare(a.ID, b.ID) })
@@ -32,18 +32,18 @@
 }
 
 // reportReturns lists the open intents to return, by key.
-func (l *Ledger) reportReturns() []wire.ReturnIntent {
+func (c *RecordCache) reportReturns() []wire.ReturnIntent {
 	intents := []wire.ReturnIntent{}
-	for _, open := range l.openReturns() {
+	for _, open := range c.openReturns() {
 		intents = append(intents, wire.ReturnIntent{Key: open.key, Token: open.Token, Reason: open.Reason, Machines: open.Machines})
 	}
 	return intents
 }
 
 // reportRentals lists the open intents to rent, the oldest first.
-func (l *Ledger) reportRentals() []wire.RentalIntent {
+func (c *RecordCache) reportRentals() []wire.RentalIntent {
 	intents := []wire.RentalIntent{}
-	for _, open := range l.openRentals() {
+	for _, open := range c.openRentals() {
 		intent := wire.RentalIntent{Key: open.key, Token: open.token}
 		for _, request := range open.Requests {
 			intent.Requests = append(intent.Requests, request.Request)
@@ -56,7 +56,7 @@
 // Held counts the duties that this controller may act for now.
 func (k *Keeper) Held() int {
 	held := 0
-	for id, h := range k.opts.Ledger.allHolders() {
+	for id, h := range k.opts.Cache.allHolders() {
 		if k.check(id, h.token) == nil {
 			held++
 		}
--- a/internal/duty/session.go
+++ b/internal/duty/session.go
@@ -31,9 +31,9 @@
 // returns whether there is a valid one.
 func (k *Keeper) keepSession(ctx context.Context, m Membership, renew bool) bool {
 	s := k.currentSession()
-	seen := k.opts.Ledger.sessionOf(k.opts.Node)
+	seen := k.opts.Cache.sessionOf(k.opts.Node)
 	switch {
-	case s.lease == 0 || seen != s.version && k.opts.Ledger.hasSeen(s.version):
+	case s.lease == 0 || seen != s.version && k.opts.Cache.hasSeen(s.version):
 		// There is none yet, its key is gone, or another incarnation of this node has
 		// begun one. Only one incarnation is a member.
 		return m.Since != 0 && k.beginSession(ctx, seen)
--- a/internal/failovertest/node.go
+++ b/internal/failovertest/node.go
@@ -49,7 +49,7 @@
 type Node struct {
 	opts    NodeOptions
 	client  *state.Client
-	ledger  *duty.Ledger
+	ledger  *duty.RecordCache
 	keeper  *duty.Keeper
 	actions *duty.Actions
 	random  *rand.Rand
@@ -76,15 +76,15 @@
 
 // NewNode returns a Node that does nothing until Run is called.
 func NewNode(opts NodeOptions) *Node {
-	n := &Node{opts: opts, ledger: duty.NewLedger(opts.Log), random: rand.New(rand.NewPCG(opts.Seed, 1))}
+	n := &Node{opts: opts, ledger: duty.NewRecordCache(opts.Log), random: rand.New(rand.NewPCG(opts.Seed, 1))}
 	n.client = state.NewClient(opts.State, state.NewBudget(unlimited, unlimited, maxChanges))
 	history := duty.NewHistory()
 	n.keeper = duty.NewKeeper(duty.KeeperOptions{
-		Node: opts.Name, Incarnation: opts.Seed, Lease: opts.Lease, Store: n.client, Ledger: n.ledger,
+		Node: opts.Name, Incarnation: opts.Seed, Lease: opts.Lease, Store: n.client, Cache: n.ledger,
 		Ready: func() bool { return true }, Membership: n.membership, MaxChanges: maxChanges, History: history, Log: opts.Log,
 	})
 	n.actions = duty.NewActions(duty.ActionsOptions{
-		Node: opts.Name, Provider: opts.Provider, Keeper: n.keeper, Ledger: n.ledger,
+		Node: opts.Name, Provider: opts.Provider, Keeper: n.keeper, Cache: n.ledger,
 		Committer: state.NewCommitter(n.client, maxChanges), Membership: n.membership, MaxValueBytes: valueBytes, History: history, Log: opts.Log,
 	})
 	return n
