--- a/cmd/heronwick/duties.go
+++ b/cmd/heronwick/duties.go
@@ -14,7 +14,7 @@
 // respected.
 type duties struct {
 	ledger  *duty.RecordCache
-	keeper  *duty.Keeper
+	keeper  *duty.Manager
 	actions *duty.Actions
 	history *duty.History
 }
@@ -22,7 +22,7 @@
 // newDuties makes the duties of a controller whose client and committer are there.
 func newDuties(c *controller) duties {
 	d := duties{ledger: duty.NewRecordCache(c.log), history: duty.NewHistory()}
-	d.keeper = duty.NewKeeper(duty.KeeperOptions{
+	d.keeper = duty.NewManager(duty.ManagerOptions{
 		Node:        c.settings.Node,
 		Incarnation: rand.Uint64(),
 		Lease:       c.settings.DutyLease,
@@ -37,7 +37,7 @@
 	d.actions = duty.NewActions(duty.ActionsOptions{
 		Node:          c.settings.Node,
 		Provider:      c.external.cloud,
-		Keeper:        d.keeper,
+		Manager:       d.keeper,
 		Cache:         d.ledger,
 		Committer:     c.committer,
 		Membership:    c.dutyMembership,
--- a/internal/duty/actions.go
+++ b/internal/duty/actions.go
@@ -42,7 +42,7 @@
 type ActionsOptions struct {
 	Node          string
 	Provider      Provider
-	Keeper        *Keeper
+	Manager       *Manager
 	Cache         *RecordCache
 	Committer     Committer
 	Membership    func() Membership
@@ -71,20 +71,20 @@
 // Unguarded returns Actions with duties off: every action is permitted, and no intent is
 // recorded.
 func Unguarded(provider Provider, log *slog.Logger) *Actions {
-	ledger, history := NewRecordCache(log), NewHistory()
-	keeper := NewKeeper(KeeperOptions{Cache: ledger, History: history, Log: log})
+	cache, history := NewRecordCache(log), NewHistory()
+	manager := NewManager(ManagerOptions{Cache: cache, History: history, Log: log})
 	return NewActions(ActionsOptions{
-		Provider: provider, Keeper: keeper, Cache: ledger, History: history, Log: log,
+		Provider: provider, Manager: manager, Cache: cache, History: history, Log: log,
 		Membership: func() Membership { return Membership{} }, MaxValueBytes: math.MaxInt,
 	})
 }
 
 // Active reports whether intents are recorded before actions.
-func (a *Actions) Active() bool { return a.opts.Keeper.Active() }
+func (a *Actions) Active() bool { return a.opts.Manager.Active() }
 
-// Guard returns the right to act for a duty like Keeper.Guard, and records a refusal.
+// Guard returns the right to act for a duty like Manager.Guard, and records a refusal.
 func (a *Actions) Guard(id ID) (Guard, error) {
-	guard, err := a.opts.Keeper.Guard(id)
+	guard, err := a.opts.Manager.Guard(id)
 	if err != nil {
 		a.recordRefusal(id, 0, err)
 	}
--- a/internal/duty/doc.go
+++ b/internal/duty/doc.go
@@ -9,6 +9,6 @@
 // intent is recorded an action is idempotent and safe at any later time, whoever sends it.
 // See docs/duties.md.
 //
-// RecordCache mirrors the stored duties and intents, Keeper acquires and renews the duties of
+// RecordCache mirrors the stored duties and intents, Manager acquires and renews the duties of
 // this controller, and Actions records intents and sends requests to the cloud.
 package duty
--- a/internal/duty/guard.go
+++ b/internal/duty/guard.go
@@ -8,10 +8,10 @@
 	"heronwick/wire"
 )
 
-// Guard is the right to act for a duty under one fencing token. Keeper.Guard makes it;
+// Guard is the right to act for a duty under one fencing token. Manager.Guard makes it;
 // the zero Guard permits nothing.
 type Guard struct {
-	keeper   *Keeper
+	manager  *Manager
 	id       ID
 	token    uint64
 	unfenced bool // duties are off: every action is permitted
@@ -23,10 +23,10 @@
 	if g.unfenced {
 		return nil
 	}
-	if g.keeper == nil {
+	if g.manager == nil {
 		return ErrNotHeld
 	}
-	return g.keeper.check(g.id, g.token)
+	return g.manager.check(g.id, g.token)
 }
 
 // Conditions returns the conditions that make a transaction fail once another controller
@@ -46,29 +46,29 @@
 
 // Guard returns the right to act for a duty, or the error that Guard.Check would return.
 // With duties off every controller has it.
-func (k *Keeper) Guard(id ID) (Guard, error) {
-	if !k.Active() {
+func (mgr *Manager) Guard(id ID) (Guard, error) {
+	if !mgr.Active() {
 		return Guard{unfenced: true}, nil
 	}
-	h := k.opts.Cache.holderOf(id)
-	if err := k.check(id, h.token); err != nil {
+	h := mgr.opts.Cache.holderOf(id)
+	if err := mgr.check(id, h.token); err != nil {
 		return Guard{}, err
 	}
-	return Guard{keeper: k, id: id, token: h.token}, nil
+	return Guard{manager: mgr, id: id, token: h.token}, nil
 }
 
 // check returns nil if this controller holds a duty under a token: the watch has shown
 // its holder record, and so everything written before, and the lease cannot have expired.
-func (k *Keeper) check(id ID, token uint64) error {
-	membership := k.opts.Membership()
-	h := k.opts.Cache.holderOf(id)
-	s := k.currentSession()
+func (mgr *Manager) check(id ID, token uint64) error {
+	membership := mgr.opts.Membership()
+	h := mgr.opts.Cache.holderOf(id)
+	s := mgr.currentSession()
 	switch {
 	case h.corrupt:
 		return fmt.Errorf("%w: %s", ErrCorrupt, id)
-	case h.token != token && token != 0 && h.Node != k.opts.Node:
+	case h.token != token && token != 0 && h.Node != mgr.opts.Node:
 		return fmt.Errorf("%w: %s is held by %q", ErrReplaced, id, h.Node)
-	case h.token != token || !k.isOwn(h, s, membership) || k.opts.Cache.sessionOf(k.opts.Node) != s.version:
+	case h.token != token || !mgr.isOwn(h, s, membership) || mgr.opts.Cache.sessionOf(mgr.opts.Node) != s.version:
 		return fmt.Errorf("%w: %s", ErrNotHeld, id)
 	case !s.valid(time.Now()):
 		return fmt.Errorf("%w: %s", ErrLeaseExpired, id)
@@ -77,6 +77,6 @@
 }
 
 // isOwn reports whether a holder record names this controller's session and membership.
-func (k *Keeper) isOwn(h holder, s session, m Membership) bool {
-	return !h.corrupt && h.Node == k.opts.Node && h.Session == s.version && s.version != 0 && h.Since == m.Since
+func (mgr *Manager) isOwn(h holder, s session, m Membership) bool {
+	return !h.corrupt && h.Node == mgr.opts.Node && h.Session == s.version && s.version != 0 && h.Since == m.Since
 }
--- a/internal/duty/keeper.go
+++ b/internal/duty/manager.go
@@ -36,8 +36,8 @@
 	return since != 0 && m.Members[node] == since
 }
 
-// KeeperOptions configure a Keeper.
-type KeeperOptions struct {
+// ManagerOptions configure a Manager.
+type ManagerOptions struct {
 	Node        string
 	Incarnation uint64        // differs each time that the controller starts
 	Lease       time.Duration // of the duties; 0: duties are off
@@ -51,10 +51,10 @@
 	Log        *slog.Logger
 }
 
-// Keeper acquires, renews and resigns this controller's duties. It is safe for concurrent
+// Manager acquires, renews and resigns this controller's duties. It is safe for concurrent
 // use.
-type Keeper struct {
-	opts KeeperOptions
+type Manager struct {
+	opts ManagerOptions
 	poke chan struct{}
 
 	mu      sync.Mutex
@@ -64,42 +64,42 @@
 	paused  map[ID]time.Time // duties handed over, not to be acquired before then
 }
 
-// NewKeeper returns a Keeper that does nothing until Run is called.
-func NewKeeper(opts KeeperOptions) *Keeper {
-	return &Keeper{opts: opts, poke: make(chan struct{}, 1), wanted: map[ID]time.Time{}, held: map[ID]uint64{}, paused: map[ID]time.Time{}}
+// NewManager returns a Manager that does nothing until Run is called.
+func NewManager(opts ManagerOptions) *Manager {
+	return &Manager{opts: opts, poke: make(chan struct{}, 1), wanted: map[ID]time.Time{}, held: map[ID]uint64{}, paused: map[ID]time.Time{}}
 }
 
 // Active reports whether actions are fenced: duties are on, and every controller can decode
 // what they store.
-func (k *Keeper) Active() bool { return k.opts.Lease > 0 && k.opts.Ready() }
+func (mgr *Manager) Active() bool { return mgr.opts.Lease > 0 && mgr.opts.Ready() }
 
-// Poke makes the Keeper look at once because the epoch or a duty has changed. It does not
+// Poke makes the Manager look at once because the epoch or a duty has changed. It does not
 // block.
-func (k *Keeper) Poke() {
+func (mgr *Manager) Poke() {
 	select {
-	case k.poke <- struct{}{}:
+	case mgr.poke <- struct{}{}:
 	default:
 	}
 }
 
 // Run keeps the duties until ctx ends. It returns nil.
-func (k *Keeper) Run(ctx context.Context) error {
-	if k.opts.Lease <= 0 {
+func (mgr *Manager) Run(ctx context.Context) error {
+	if mgr.opts.Lease <= 0 {
 		return nil
 	}
-	tick := time.NewTicker(k.opts.Lease / renewalsPerLease)
+	tick := time.NewTicker(mgr.opts.Lease / renewalsPerLease)
 	defer tick.Stop()
 	renew := true
 	for {
-		if k.Active() {
-			k.reconcile(ctx, renew)
+		if mgr.Active() {
+			mgr.reconcile(ctx, renew)
 		}
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
 			renew = true
-		case <-k.poke:
+		case <-mgr.poke:
 			renew = false
 		}
 	}
@@ -107,24 +107,24 @@
 
 // reconcile keeps the session, then resigns and acquires duties until this controller
 // holds the ones it should.
-func (k *Keeper) reconcile(ctx context.Context, renew bool) {
-	membership := k.opts.Membership()
-	k.recordHeld(time.Now())
-	k.updateWanted(membership, time.Now())
-	if !k.keepSession(ctx, membership, renew) {
+func (mgr *Manager) reconcile(ctx context.Context, renew bool) {
+	membership := mgr.opts.Membership()
+	mgr.recordHeld(time.Now())
+	mgr.updateWanted(membership, time.Now())
+	if !mgr.keepSession(ctx, membership, renew) {
 		return
 	}
-	k.resignUnwanted(ctx)
-	k.acquireWanted(ctx, membership)
-	k.recordHeld(time.Now())
+	mgr.resignUnwanted(ctx)
+	mgr.acquireWanted(ctx, membership)
+	mgr.recordHeld(time.Now())
 }
 
 // assigned returns the duties that an epoch assigns to this controller.
-func (k *Keeper) assigned(m Membership) []ID {
+func (mgr *Manager) assigned(m Membership) []ID {
 	if m.Since == 0 {
 		return nil
 	}
-	ids := []ID{{Return, Shard(k.opts.Node)}, {Cleanup, Shard(k.opts.Node)}}
+	ids := []ID{{Return, Shard(mgr.opts.Node)}, {Cleanup, Shard(mgr.opts.Node)}}
 	if m.Leads {
 		ids = append(ids, ID{Rent, Fleet}, ID{Reclaim, Fleet}, ID{Cleanup, Fleet})
 	}
@@ -132,58 +132,58 @@
 }
 
 // updateWanted notes which duties this controller should hold.
-func (k *Keeper) updateWanted(m Membership, now time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	ids := k.assigned(m)
-	maps.DeleteFunc(k.wanted, func(id ID, _ time.Time) bool { return !slices.Contains(ids, id) })
+func (mgr *Manager) updateWanted(m Membership, now time.Time) {
+	mgr.mu.Lock()
+	defer mgr.mu.Unlock()
+	ids := mgr.assigned(m)
+	maps.DeleteFunc(mgr.wanted, func(id ID, _ time.Time) bool { return !slices.Contains(ids, id) })
 	for _, id := range ids {
-		if now.Before(k.paused[id]) {
-			delete(k.wanted, id)
-		} else if k.wanted[id].IsZero() {
-			k.wanted[id] = now
+		if now.Before(mgr.paused[id]) {
+			delete(mgr.wanted, id)
+		} else if mgr.wanted[id].IsZero() {
+			mgr.wanted[id] = now
 		}
 	}
 }
 
 // restartWaitLocked returns how long this controller has wanted a duty and counts anew
 // from now; 0 if it does not want it.
-func (k *Keeper) restartWaitLocked(id ID, now time.Time) time.Duration {
-	since, wanted := k.wanted[id]
+func (mgr *Manager) restartWaitLocked(id ID, now time.Time) time.Duration {
+	since, wanted := mgr.wanted[id]
 	if !wanted {
 		return 0
 	}
-	k.wanted[id] = now
+	mgr.wanted[id] = now
 	return now.Sub(since)
 }
 
 // recordHeld logs and records the duties that this controller has acquired or lost since
 // the last call.
-func (k *Keeper) recordHeld(now time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	ids := slices.AppendSeq(slices.Collect(maps.Keys(k.wanted)), maps.Keys(k.held))
+func (mgr *Manager) recordHeld(now time.Time) {
+	mgr.mu.Lock()
+	defer mgr.mu.Unlock()
+	ids := slices.AppendSeq(slices.Collect(maps.Keys(mgr.wanted)), maps.Keys(mgr.held))
 	slices.SortFunc(ids, compareIDs)
 	for _, id := range slices.Compact(ids) {
-		k.recordHeldLocked(id, now)
+		mgr.recordHeldLocked(id, now)
 	}
 }
 
 // recordHeldLocked does what recordHeld does for one duty.
-func (k *Keeper) recordHeldLocked(id ID, now time.Time) {
-	h := k.opts.Cache.holderOf(id)
-	previous := k.held[id]
-	holds := h.Node == k.opts.Node && h.Session == k.session.version && !h.corrupt
+func (mgr *Manager) recordHeldLocked(id ID, now time.Time) {
+	h := mgr.opts.Cache.holderOf(id)
+	previous := mgr.held[id]
+	holds := h.Node == mgr.opts.Node && h.Session == mgr.session.version && !h.corrupt
 	switch {
 	case holds && previous != h.token:
-		k.held[id] = h.token
-		waited := k.restartWaitLocked(id, now)
-		k.opts.Log.Info("duty acquired", "duty", id, "token", h.token, "after", waited)
-		k.opts.History.add(wire.DutyEvent{At: now, Kind: string(EventAcquired), Duty: id.String(), Node: k.opts.Node, Token: h.token, TookS: waited.Seconds()})
+		mgr.held[id] = h.token
+		waited := mgr.restartWaitLocked(id, now)
+		mgr.opts.Log.Info("duty acquired", "duty", id, "token", h.token, "after", waited)
+		mgr.opts.History.add(wire.DutyEvent{At: now, Kind: string(EventAcquired), Duty: id.String(), Node: mgr.opts.Node, Token: h.token, TookS: waited.Seconds()})
 	case !holds && previous != 0:
-		delete(k.held, id)
-		k.restartWaitLocked(id, now)
-		k.opts.Log.Info("duty resigned or lost", "duty", id, "token", previous, "holder", h.Node)
-		k.opts.History.add(wire.DutyEvent{At: now, Kind: string(EventLost), Duty: id.String(), Node: k.opts.Node, Token: previous})
+		delete(mgr.held, id)
+		mgr.restartWaitLocked(id, now)
+		mgr.opts.Log.Info("duty resigned or lost", "duty", id, "token", previous, "holder", h.Node)
+		mgr.opts.History.add(wire.DutyEvent{At: now, Kind: string(EventLost), Duty: id.String(), Node: mgr.opts.Node, Token: previous})
 	}
 }
--- a/internal/duty/record.go
+++ b/internal/duty/record.go
@@ -19,7 +19,7 @@
 )
 
 // holderRecord is the value of a duty's key. It is not attached to a lease and never
-// removed, except by Keeper.Clear: the key's version is the duty's fencing token. Tokens
+// removed, except by Manager.Clear: the key's version is the duty's fencing token. Tokens
 // rise even across a removal, since the store's revision only rises.
 type holderRecord struct {
 	Node    string `json:"node"`    // "": the duty is not held
--- a/internal/duty/report.go
+++ b/internal/duty/report.go
@@ -9,23 +9,23 @@
 
 // Report returns this controller's view of the duties for an operator. Its lists are never
 // nil.
-func (k *Keeper) Report() wire.Duties {
+func (mgr *Manager) Report() wire.Duties {
 	report := wire.Duties{
-		Node: k.opts.Node, Active: k.Active(), LeaseS: k.opts.Lease.Seconds(),
-		Duties: k.reportDuties(), Returns: k.opts.Cache.reportReturns(), Rentals: k.opts.Cache.reportRentals(),
-		Events: k.opts.History.Events(), Counts: map[string]int{},
+		Node: mgr.opts.Node, Active: mgr.Active(), LeaseS: mgr.opts.Lease.Seconds(),
+		Duties: mgr.reportDuties(), Returns: mgr.opts.Cache.reportReturns(), Rentals: mgr.opts.Cache.reportRentals(),
+		Events: mgr.opts.History.Events(), Counts: map[string]int{},
 	}
 	for _, kind := range Kinds() {
-		report.Counts[string(kind)] = k.opts.History.Count(kind)
+		report.Counts[string(kind)] = mgr.opts.History.Count(kind)
 	}
 	return report
 }
 
 // reportDuties lists the duties by ID.
-func (k *Keeper) reportDuties() []wire.Duty {
+func (mgr *Manager) reportDuties() []wire.Duty {
 	duties := []wire.Duty{}
-	for id, h := range k.opts.Cache.allHolders() {
-		duties = append(duties, wire.Duty{ID: id.String(), Holder: h.Node, Token: h.token, Corrupt: h.corrupt, Leader: k.check(id, h.token) == nil})
+	for id, h := range mgr.opts.Cache.allHolders() {
+		duties = append(duties, wire.Duty{ID: id.String(), Holder: h.Node, Token: h.token, Corrupt: h.corrupt, Leader: mgr.check(id, h.token) == nil})
 	}
 	slices.SortFunc(duties, func(a, b wire.Duty) int { return strings.Compare(a.ID, b.ID) })
 	return duties
@@ -54,10 +54,10 @@
 }
 
 // Held counts the duties that this controller may act for now.
-func (k *Keeper) Held() int {
+func (mgr *Manager) Held() int {
 	held := 0
-	for id, h := range k.opts.Cache.allHolders() {
-		if k.check(id, h.token) == nil {
+	for id, h := range mgr.opts.Cache.allHolders() {
+		if mgr.check(id, h.token) == nil {
 			held++
 		}
 	}
--- a/internal/failovertest/node.go
+++ b/internal/failovertest/node.go
@@ -50,7 +50,7 @@
 	opts    NodeOptions
 	client  *state.Client
 	ledger  *duty.RecordCache
-	keeper  *duty.Keeper
+	keeper  *duty.Manager
 	actions *duty.Actions
 	random  *rand.Rand
 	rented  int // requests made, for their names
@@ -79,12 +79,12 @@
 	n := &Node{opts: opts, ledger: duty.NewRecordCache(opts.Log), random: rand.New(rand.NewPCG(opts.Seed, 1))}
 	n.client = state.NewClient(opts.State, state.NewBudget(unlimited, unlimited, maxChanges))
 	history := duty.NewHistory()
-	n.keeper = duty.NewKeeper(duty.KeeperOptions{
+	n.keeper = duty.NewManager(duty.ManagerOptions{
 		Node: opts.Name, Incarnation: opts.Seed, Lease: opts.Lease, Store: n.client, Cache: n.ledger,
 		Ready: func() bool { return true }, Membership: n.membership, MaxChanges: maxChanges, History: history, Log: opts.Log,
 	})
 	n.actions = duty.NewActions(duty.ActionsOptions{
-		Node: opts.Name, Provider: opts.Provider, Keeper: n.keeper, Cache: n.ledger,
+		Node: opts.Name, Provider: opts.Provider, Manager: n.keeper, Cache: n.ledger,
 		Committer: state.NewCommitter(n.client, maxChanges), Membership: n.membership, MaxValueBytes: valueBytes, History: history, Log: opts.Log,
 	})
 	return n
