--- a/cmd/heronwick/membership.go
+++ b/cmd/heronwick/membership.go
@@ -79,7 +79,7 @@
 // epochChanged is called when the epoch or a machine's owner has changed.
 func (c *controller) epochChanged() {
 	c.setRates()
-	c.duties.keeper.Poke()
+	c.duties.keeper.TriggerReconcile()
 	if s := c.scheduler.Load(); s != nil {
 		s.EpochChanged()
 	}
--- a/internal/duty/acquire.go
+++ b/internal/duty/acquire.go
@@ -45,7 +45,7 @@
 			continue
 		}
 		if len(txn.Then) == mgr.opts.MaxChanges {
-			mgr.Poke() // the rest follows at once in another transaction
+			mgr.TriggerReconcile() // the rest follows at once in another transaction
 			break
 		}
 		txn.If = append(append(txn.If, wire.Condition{Key: holderKey(id), Version: h.token}), evidence...)
@@ -118,7 +118,7 @@
 	delete(mgr.wanted, id)
 	mgr.mu.Unlock()
 	mgr.resignUnwanted(ctx)
-	mgr.Poke()
+	mgr.TriggerReconcile()
 	return nil
 }
 
--- a/internal/duty/manager.go
+++ b/internal/duty/manager.go
@@ -54,8 +54,8 @@
 // Manager acquires, renews and resigns this controller's duties. It is safe for concurrent
 // use.
 type Manager struct {
-	opts ManagerOptions
-	poke chan struct{}
+	opts    ManagerOptions
+	trigger chan struct{}
 
 	mu      sync.Mutex
 	session session
@@ -66,18 +66,18 @@
 
 // NewManager returns a Manager that does nothing until Run is called.
 func NewManager(opts ManagerOptions) *Manager {
-	return &Manager{opts: opts, poke: make(chan struct{}, 1), wanted: map[ID]time.Time{}, held: map[ID]uint64{}, paused: map[ID]time.Time{}}
+	return &Manager{opts: opts, trigger: make(chan struct{}, 1), wanted: map[ID]time.Time{}, held: map[ID]uint64{}, paused: map[ID]time.Time{}}
 }
 
 // Active reports whether actions are fenced: duties are on, and every controller can decode
 // what they store.
 func (mgr *Manager) Active() bool { return mgr.opts.Lease > 0 && mgr.opts.Ready() }
 
-// Poke makes the Manager look at once because the epoch or a duty has changed. It does not
+// TriggerReconcile makes the Manager look at once because the epoch or a duty has changed. It does not
 // block.
-func (mgr *Manager) Poke() {
+func (mgr *Manager) TriggerReconcile() {
 	select {
-	case mgr.poke <- struct{}{}:
+	case mgr.trigger <- struct{}{}:
 	default:
 	}
 }
@@ -99,7 +99,7 @@
 			return nil
 		case <-tick.C:
 			renew = true
-		case <-mgr.poke:
+		case <-mgr.trigger:
 			renew = false
 		}
 	}
--- a/internal/failovertest/node.go
+++ b/internal/failovertest/node.go
@@ -127,7 +127,7 @@
 		revision = max(revision, events.Revision)
 		n.ledger.Apply(events.Events, revision)
 		n.apply(events.Events, revision)
-		n.keeper.Poke()
+		n.keeper.TriggerReconcile()
 	}
 }
 
