--- a/internal/duty/intents.go
+++ b/internal/duty/intents.go
@@ -31,10 +31,10 @@
 	return c.machines[machine] != ""
 }
 
-// Abandoned returns, sorted, the machines of open intents to return that only the leader
+// AbandonedReturns returns, sorted, the machines of open intents to return that only the leader
 // completes: their node is no longer a member, as current tells of a membership, or they
 // were recorded by an earlier holder of a duty for the fleet.
-func (c *RecordCache) Abandoned(current func(node string, since uint64) bool) []string {
+func (c *RecordCache) AbandonedReturns(current func(node string, since uint64) bool) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var machines []string
--- a/internal/duty/returns.go
+++ b/internal/duty/returns.go
@@ -26,11 +26,11 @@
 // controller may place on it. It also holds while duties are off.
 func (a *Actions) HasReturnIntent(machine string) bool { return a.opts.Cache.HasReturnIntent(machine) }
 
-// Abandoned returns, sorted, the machines of open intents to return that only the leader
+// AbandonedReturns returns, sorted, the machines of open intents to return that only the leader
 // completes: those of nodes that are no longer members, and of earlier holders of a duty
 // for the fleet.
-func (a *Actions) Abandoned() []string {
-	return a.opts.Cache.Abandoned(a.opts.Membership().current)
+func (a *Actions) AbandonedReturns() []string {
+	return a.opts.Cache.AbandonedReturns(a.opts.Membership().current)
 }
 
 // ReturnIntent is the right to return machines: an intent is recorded, or duties are off.
--- a/internal/failovertest/node.go
+++ b/internal/failovertest/node.go
@@ -176,7 +176,7 @@
 	if !n.membership().Leads {
 		return
 	}
-	if abandoned := n.actions.Abandoned(); len(abandoned) > 0 {
+	if abandoned := n.actions.AbandonedReturns(); len(abandoned) > 0 {
 		n.reclaim(ctx, abandoned)
 	}
 	for _, open := range n.actions.OpenRentals() {
--- a/internal/scheduler/returns.go
+++ b/internal/scheduler/returns.go
@@ -115,7 +115,7 @@
 		return nil
 	}
 	var names []string
-	for _, name := range s.opts.Actions.Abandoned() {
+	for _, name := range s.opts.Actions.AbandonedReturns() {
 		if s.machines[name] == nil && !s.inventory.IsReleased(name) {
 			names = append(names, name)
 		}
