--- a/internal/autoscale/renter.go
+++ b/internal/autoscale/renter.go
@@ -46,10 +46,10 @@
 // rentDuty is the duty of renting machines for the fleet.
 func rentDuty() duty.ID { return duty.ID{Name: duty.Rent, Scope: duty.Fleet} }
 
-// Round rents what is planned. Requests that former holders of the duty, or
+// RunRound rents what is planned. Requests that former holders of the duty, or
 // earlier rounds, have recorded and not seen answered come first, and nothing
 // is planned before they are answered: their machines may be there.
-func (r *Renter) Round(ctx context.Context) {
+func (r *Renter) RunRound(ctx context.Context) {
 	open := r.Actions.OpenRentals()
 	var requests []wire.RentRequest
 	if len(open) == 0 {
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -37,7 +37,7 @@
 		s.mu.Lock()
 		s.returnIdleLocked(time.Now())
 		s.mu.Unlock()
-		renter.Round(ctx)
+		renter.RunRound(ctx)
 	})
 }
 
