--- a/internal/autoscale/renter.go
+++ b/internal/autoscale/renter.go
@@ -38,9 +38,9 @@
 	Plan func() []wire.RentRequest
 	// Fence returns the condition under which requests are recorded.
 	Fence func() state.FencingCondition
-	// Rented takes the machines that a request has brought, or its error.
-	Rented func(req wire.RentRequest, machines []string, err error)
-	Log    *slog.Logger
+	// OnResult is called with the names of the rented machines, or the error, of each request.
+	OnResult func(req wire.RentRequest, machines []string, err error)
+	Log      *slog.Logger
 }
 
 // rentDuty is the duty of renting machines for the fleet.
@@ -110,6 +110,6 @@
 			break
 		}
 	}
-	r.Rented(req, machines, err)
+	r.OnResult(req, machines, err)
 	return err == nil || errors.Is(err, cloud.ErrNoCapacity)
 }
--- a/internal/scheduler/renting.go
+++ b/internal/scheduler/renting.go
@@ -122,7 +122,7 @@
 			defer s.mu.Unlock()
 			return s.fenceLocked()
 		},
-		Rented: func(req wire.RentRequest, machines []string, err error) {
+		OnResult: func(req wire.RentRequest, machines []string, err error) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.applyRentalLocked(req, machines, err)
