--- a/internal/autoscale/returner.go
+++ b/internal/autoscale/returner.go
@@ -61,9 +61,9 @@
 // lock held.
 type Returner struct {
 	Actions ReturnActions
-	// Released takes the machines that the cloud has taken back: they and all
+	// OnReleased takes the machines that the cloud has taken back: they and all
 	// that was on them are gone.
-	Released func(machines []string)
+	OnReleased func(machines []string)
 	// Kept takes the machines whose return could not be recorded.
 	Kept func(machines []string)
 	Log  *slog.Logger
@@ -88,7 +88,7 @@
 			return
 		}
 	}
-	r.Released(ret.Machines)
+	r.OnReleased(ret.Machines)
 }
 
 // record records the return intent and returns what then carries it out. A
--- a/internal/scheduler/returns.go
+++ b/internal/scheduler/returns.go
@@ -72,7 +72,7 @@
 func (s *Scheduler) returner() *autoscale.Returner {
 	return &autoscale.Returner{
 		Actions: s.opts.Actions,
-		Released: func(machines []string) {
+		OnReleased: func(machines []string) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.applyReleaseLocked(machines, time.Now())
