--- a/internal/autoscale/returner.go
+++ b/internal/autoscale/returner.go
@@ -64,9 +64,9 @@
 	// OnReleased takes the machines that the cloud has taken back: they and all
 	// that was on them are gone.
 	OnReleased func(machines []string)
-	// Kept takes the machines whose return could not be recorded.
-	Kept func(machines []string)
-	Log  *slog.Logger
+	// OnRecordFailure takes the machines whose return could not be recorded.
+	OnRecordFailure func(machines []string)
+	Log             *slog.Logger
 }
 
 // Execute records that machines are to be returned, and returns them: it tries
@@ -75,7 +75,7 @@
 	send, err := r.record(ctx, ret)
 	if err != nil {
 		r.Log.Info("machines are not returned for now", "machines", ret.Machines, "err", err)
-		r.Kept(ret.Machines)
+		r.OnRecordFailure(ret.Machines)
 		return
 	}
 	for {
--- a/internal/scheduler/returns.go
+++ b/internal/scheduler/returns.go
@@ -77,7 +77,7 @@
 			defer s.mu.Unlock()
 			s.applyReleaseLocked(machines, time.Now())
 		},
-		Kept: func(machines []string) {
+		OnRecordFailure: func(machines []string) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.abortReturnLocked(machines)
