--- a/internal/autoscale/returner.go
+++ b/internal/autoscale/returner.go
@@ -17,7 +17,7 @@
 
 // The reasons to return a machine.
 const (
-	NotReturned             ReturnReason = ""
+	ReasonNone              ReturnReason = ""
 	ReasonIdle              ReturnReason = "idle"
 	ReasonFailed            ReturnReason = "failed"
 	ReasonNeverBooted       ReturnReason = "never came up"
--- a/internal/scheduler/machinewatch.go
+++ b/internal/scheduler/machinewatch.go
@@ -43,7 +43,7 @@
 	for _, m := range s.machines {
 		s.probeIfDueLocked(m, now)
 		s.expireLeaseIfDueLocked(m, now)
-		if reason := s.returnReasonLocked(m, assessment, now); reason != autoscale.NotReturned {
+		if reason := s.returnReasonLocked(m, assessment, now); reason != autoscale.ReasonNone {
 			returned[reason] = append(returned[reason], m)
 		}
 		if !m.ReclaimAt.IsZero() || assessment.HeartbeatsMissing(&m.Worker) {
@@ -101,11 +101,11 @@
 }
 
 // returnReasonLocked returns the reason to return a machine to the cloud, or
-// NotReturned.
+// ReasonNone.
 func (s *Scheduler) returnReasonLocked(m *machine, assessment *detector.Assessment, now time.Time) autoscale.ReturnReason {
 	switch {
 	case m.returning:
-		return autoscale.NotReturned
+		return autoscale.ReasonNone
 	case m.returnIntent:
 		return autoscale.ReasonRecordedBefore
 	case assessment.Dead(&m.Worker):
@@ -119,7 +119,7 @@
 	case m.ActiveCount() == 0 && assessment.HeartbeatsMissingPersistently(&m.Worker):
 		return autoscale.ReasonSendsNoHeartbeats
 	}
-	return autoscale.NotReturned
+	return autoscale.ReasonNone
 }
 
 // cancelledTaskOverdueLocked reports whether a task of a cancelled job may still be
