--- a/internal/autoscale/returner.go
+++ b/internal/autoscale/returner.go
@@ -21,7 +21,7 @@
 	ReasonIdle              ReturnReason = "idle"
 	ReasonFailed            ReturnReason = "failed"
 	ReasonNeverBooted       ReturnReason = "never came up"
-	ReasonRecordedBefore    ReturnReason = "condemned by its owner before"
+	ReasonExistingIntent    ReturnReason = "condemned by its owner before"
 	ReasonLost              ReturnReason = "lost"
 	ReasonOverdueTask       ReturnReason = "a cancelled task may still be on it"
 	ReasonUnreachable       ReturnReason = "nothing reaches it"
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -79,7 +79,7 @@
 	overdue := s.planner.Overdue(s.opts.Settings.CloudListLag, 2*s.opts.Settings.CloudListLag+s.detector.DeadAfter(), now)
 	s.reclaimLocked(failed, autoscale.ReasonFailed)
 	s.reclaimLocked(overdue, autoscale.ReasonNeverBooted)
-	s.reclaimLocked(s.abandonedReturnsLocked(), autoscale.ReasonRecordedBefore)
+	s.reclaimLocked(s.abandonedReturnsLocked(), autoscale.ReasonExistingIntent)
 }
 
 // returnIdleLocked returns machines that have been idle for a long time, if there are
--- a/internal/scheduler/machinewatch.go
+++ b/internal/scheduler/machinewatch.go
@@ -107,7 +107,7 @@
 	case m.returning:
 		return autoscale.ReasonNone
 	case m.returnIntent:
-		return autoscale.ReasonRecordedBefore
+		return autoscale.ReasonExistingIntent
 	case assessment.Dead(&m.Worker):
 		return autoscale.ReasonLost
 	case s.cancelledTaskOverdueLocked(m, now):
