--- a/cmd/heronwick/membership.go
+++ b/cmd/heronwick/membership.go
@@ -30,7 +30,7 @@
 		LeaseDuration:     c.settings.LeaseDuration,
 		CancelTimeout:     c.settings.CancelTimeout,
 		Cancellations:     c.jobs,
-		TimeoutFactor:     c.settings.Slowness(),
+		TimeoutFactor:     c.settings.TimeoutFactor(),
 		RunMembership:     c.runScheduler,
 		FillStatus:        c.fillStatus,
 		OnChange:          c.epochChanged,
--- a/cmd/heronwick/runcommand.go
+++ b/cmd/heronwick/runcommand.go
@@ -56,7 +56,7 @@
 		return nil, err
 	}
 	// Like all timeouts between controllers, it is longer where they are slow.
-	lease := time.Duration(float64(r.DutyLease) * settings.Slowness())
+	lease := time.Duration(float64(r.DutyLease) * settings.TimeoutFactor())
 	if err := duty.CheckLease(lease, len(settings.Peers)+1, settings.StateRequestRate); err != nil {
 		return nil, fmt.Errorf("--duty-lease: %w", err)
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -71,14 +71,14 @@
 // its peers without delay, also while it takes over from another.
 const unimpededCoreShare = 0.15
 
-// maxSlowness bounds how long others wait for a slow controller.
-const maxSlowness = 3
+// maxTimeoutFactor bounds how long others wait for a slow controller.
+const maxTimeoutFactor = 3
 
-// Slowness returns how many times longer than usual a controller with this share
+// TimeoutFactor returns how many times longer than usual a controller with this share
 // of a core may be busy with much work at once, a takeover for example: 1 to 3.
-func (s *Settings) Slowness() float64 {
+func (s *Settings) TimeoutFactor() float64 {
 	if s.CoreShare <= 0 {
 		return 1
 	}
-	return min(maxSlowness, max(1, unimpededCoreShare/s.CoreShare))
+	return min(maxTimeoutFactor, max(1, unimpededCoreShare/s.CoreShare))
 }
