--- a/internal/duty/intents.go
+++ b/internal/duty/intents.go
@@ -128,7 +128,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, e := range c.entries {
-		if e.rentalIntent != nil && slices.ContainsFunc(e.rentalIntent.Requests, func(r wire.RentRequest) bool { return r.Request == request }) {
+		if e.rentalIntent != nil && slices.ContainsFunc(e.rentalIntent.Requests, func(r wire.RentRequest) bool { return r.RequestID == request }) {
 			return true
 		}
 	}
--- a/internal/duty/report.go
+++ b/internal/duty/report.go
@@ -46,7 +46,7 @@
 	for _, open := range c.openRentals() {
 		intent := wire.RentalIntent{Key: open.key, Token: open.token}
 		for _, request := range open.Requests {
-			intent.Requests = append(intent.Requests, request.Request)
+			intent.Requests = append(intent.Requests, request.RequestID)
 		}
 		intents = append(intents, intent)
 	}
--- a/internal/failovertest/checker.go
+++ b/internal/failovertest/checker.go
@@ -93,20 +93,20 @@
 func (c *Checker) rent(sender string, req wire.RentRequest) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if names, ok := c.answered[req.Request]; ok {
+	if names, ok := c.answered[req.RequestID]; ok {
 		return names
 	}
 	names := c.addMachinesLocked(req.Count)
 	if len(names) == 0 {
-		c.refused[req.Request] = true
+		c.refused[req.RequestID] = true
 		return nil
 	}
-	c.answered[req.Request] = names
+	c.answered[req.RequestID] = names
 	if c.replaced(sender, rentHolderKey) {
 		c.counts.Late++
 		switch {
-		case c.firstRevisionNaming(rentalPrefix, req.Request) > 0:
-		case c.refused[req.Request]:
+		case c.firstRevisionNaming(rentalPrefix, req.RequestID) > 0:
+		case c.refused[req.RequestID]:
 			c.counts.AfterRefusal++
 		default:
 			c.recordStaleLocked("%s, replaced, rented %v without an intent", sender, names)
--- a/internal/failovertest/node.go
+++ b/internal/failovertest/node.go
@@ -237,7 +237,7 @@
 		return
 	}
 	n.rented++
-	request := wire.RentRequest{Request: fmt.Sprintf("%s-%d", n.opts.Name, n.rented), Type: "m", Zone: "z", Count: 1 + n.random.IntN(maxRented)}
+	request := wire.RentRequest{RequestID: fmt.Sprintf("%s-%d", n.opts.Name, n.rented), Type: "m", Zone: "z", Count: 1 + n.random.IntN(maxRented)}
 	if open, err := n.actions.RecordRentals(ctx, guard, n.fence(), []wire.RentRequest{request}); err == nil {
 		n.rent(ctx, open)
 	}
--- a/internal/scheduler/renting.go
+++ b/internal/scheduler/renting.go
@@ -76,7 +76,7 @@
 		s.lastSerial++
 		// A token is never reused, and the serial number only increases under a token, so
 		// every request name is unique.
-		requests[i].Request = fmt.Sprintf("heronwick-%s-%d-%d", s.opts.Node, s.epoch.Token, s.lastSerial)
+		requests[i].RequestID = fmt.Sprintf("heronwick-%s-%d-%d", s.opts.Node, s.epoch.Token, s.lastSerial)
 	}
 	return requests
 }
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -42,14 +42,14 @@
 	Types []MachineType `json:"breeds"`
 }
 
-// RentRequest asks for machines. Request makes the rental idempotent: it must
+// RentRequest asks for machines. RequestID makes the rental idempotent: it must
 // never be used again for another one.
 type RentRequest struct {
-	Request string `json:"tender"`
-	Type    string `json:"breed"`
-	Zone    string `json:"marsh"`
-	Spot    bool   `json:"drift"`
-	Count   int    `json:"how_many"`
+	RequestID string `json:"tender"`
+	Type      string `json:"breed"`
+	Zone      string `json:"marsh"`
+	Spot      bool   `json:"drift"`
+	Count     int    `json:"how_many"`
 }
 
 // MachineNames is the answer to a rental and the request of a return.
