--- a/cmd/heronwick/runcommand.go
+++ b/cmd/heronwick/runcommand.go
@@ -111,7 +111,7 @@
 // Connections are opened when they are first used.
 func connect(settings *config.Settings, log *slog.Logger) (*controller, *fleet.Client, error) {
 	var c *controller
-	workers := fleet.NewClient(settings.MaxConnections, func() int { return c.server.Connections() })
+	workers := fleet.NewClient(settings.MaxConnections, func() int { return c.server.OpenConnections() })
 	external := externalServices{
 		state:   state.NewHTTPTransport(settings.StateAddr),
 		cloud:   cloud.NewClient(settings.CloudAddr, settings.CloudRequestRate),
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -97,8 +97,8 @@
 	return s
 }
 
-// Connections returns how many connections users and workers have open.
-func (s *Server) Connections() int { return int(s.http.GetOpenConnectionsCount()) }
+// OpenConnections returns how many connections users and workers have open.
+func (s *Server) OpenConnections() int { return int(s.http.GetOpenConnectionsCount()) }
 
 // Serve answers requests on listener until ctx ends, and closes it then. It
 // returns nil after ctx has ended, and otherwise why it cannot go on.
