--- a/cmd/heronwick/membership.go
+++ b/cmd/heronwick/membership.go
@@ -45,7 +45,7 @@
 
 // runScheduler runs a scheduler for as long as this controller is a member.
 func (c *controller) runScheduler(ctx context.Context, membership *cluster.Membership) error {
-	if err := c.machineTypes.Wait(ctx); err != nil {
+	if err := c.machineTypes.WaitUntilLoaded(ctx); err != nil {
 		return err
 	}
 	if err := c.jobs.WaitUntilReady(ctx); err != nil {
--- a/internal/cloud/types.go
+++ b/internal/cloud/types.go
@@ -57,8 +57,8 @@
 	return c.types
 }
 
-// Wait waits until the machine types are known. The error is that of ctx.
-func (c *TypeCache) Wait(ctx context.Context) error { return wait.For(ctx, c.loaded) }
+// WaitUntilLoaded waits until the machine types are known. The error is that of ctx.
+func (c *TypeCache) WaitUntilLoaded(ctx context.Context) error { return wait.For(ctx, c.loaded) }
 
 // Run reads the types from the store or the cloud, again and again until it has them
 // or ctx ends.
