--- a/internal/duty/acquire.go
+++ b/internal/duty/acquire.go
@@ -36,7 +36,7 @@
 	txn := wire.Txn{If: []wire.Condition{m.Epoch, {Key: sessionKey(mgr.opts.Node), Version: s.version}}}
 	record := encode(holderRecord{Node: mgr.opts.Node, Since: m.Since, Session: s.version})
 	for _, id := range ids {
-		h := mgr.opts.Cache.holderOf(id)
+		h := mgr.opts.RecordCache.holderOf(id)
 		if mgr.isOwn(h, s, m) {
 			continue
 		}
@@ -65,7 +65,7 @@
 	case h.Node == mgr.opts.Node, !m.current(h.Node, h.Since):
 		return nil, true // the own session and the epoch are conditions of every acquisition
 	}
-	seen := mgr.opts.Cache.sessionOf(h.Node)
+	seen := mgr.opts.RecordCache.sessionOf(h.Node)
 	if seen == h.Session {
 		return nil, false
 	}
@@ -85,7 +85,7 @@
 	mgr.mu.Unlock()
 	txn := wire.Txn{}
 	for _, id := range ids {
-		h := mgr.opts.Cache.holderOf(id)
+		h := mgr.opts.RecordCache.holderOf(id)
 		if h.Node != mgr.opts.Node || h.Session != s.version {
 			continue
 		}
@@ -126,7 +126,7 @@
 // can be decoded. The duty is then acquired under a higher token, and intents under the
 // record's token are completed like those of any earlier holder.
 func (mgr *Manager) Clear(ctx context.Context, id ID) error {
-	h := mgr.opts.Cache.holderOf(id)
+	h := mgr.opts.RecordCache.holderOf(id)
 	if !h.corrupt {
 		return fmt.Errorf("%w: %s", ErrNotCorrupt, id)
 	}
--- a/internal/duty/actions.go
+++ b/internal/duty/actions.go
@@ -43,7 +43,7 @@
 	Node          string
 	Provider      Provider
 	Manager       *Manager
-	Cache         *RecordCache
+	RecordCache   *RecordCache
 	Committer     Committer
 	Membership    func() Membership
 	MaxValueBytes int // the store's limit of a value's size
@@ -72,9 +72,9 @@
 // recorded.
 func Unguarded(provider Provider, log *slog.Logger) *Actions {
 	cache, history := NewRecordCache(log), NewHistory()
-	manager := NewManager(ManagerOptions{Cache: cache, History: history, Log: log})
+	manager := NewManager(ManagerOptions{RecordCache: cache, History: history, Log: log})
 	return NewActions(ActionsOptions{
-		Provider: provider, Manager: manager, Cache: cache, History: history, Log: log,
+		Provider: provider, Manager: manager, RecordCache: cache, History: history, Log: log,
 		Membership: func() Membership { return Membership{} }, MaxValueBytes: math.MaxInt,
 	})
 }
@@ -161,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	a.opts.Cache.applyWrite(key, value, version)
+	a.opts.RecordCache.applyWrite(key, value, version)
 	return nil
 }
 
@@ -179,7 +179,7 @@
 		a.opts.Log.Debug("closing an intent failed", "key", key, "err", err)
 		return false
 	}
-	a.opts.Cache.applyRemoval(key, version)
+	a.opts.RecordCache.applyRemoval(key, version)
 	a.recordEvent(EventClosed, guard.id, wire.DutyEvent{Token: guard.token, Count: count})
 	return true
 }
--- a/internal/duty/guard.go
+++ b/internal/duty/guard.go
@@ -50,7 +50,7 @@
 	if !mgr.Active() {
 		return Guard{unfenced: true}, nil
 	}
-	h := mgr.opts.Cache.holderOf(id)
+	h := mgr.opts.RecordCache.holderOf(id)
 	if err := mgr.check(id, h.token); err != nil {
 		return Guard{}, err
 	}
@@ -61,14 +61,14 @@
 // its holder record, and so everything written before, and the lease cannot have expired.
 func (mgr *Manager) check(id ID, token uint64) error {
 	membership := mgr.opts.Membership()
-	h := mgr.opts.Cache.holderOf(id)
+	h := mgr.opts.RecordCache.holderOf(id)
 	s := mgr.currentSession()
 	switch {
 	case h.corrupt:
 		return fmt.Errorf("%w: %s", ErrCorrupt, id)
 	case h.token != token && token != 0 && h.Node != mgr.opts.Node:
 		return fmt.Errorf("%w: %s is held by %q", ErrReplaced, id, h.Node)
-	case h.token != token || !mgr.isOwn(h, s, membership) || mgr.opts.Cache.sessionOf(mgr.opts.Node) != s.version:
+	case h.token != token || !mgr.isOwn(h, s, membership) || mgr.opts.RecordCache.sessionOf(mgr.opts.Node) != s.version:
 		return fmt.Errorf("%w: %s", ErrNotHeld, id)
 	case !s.valid(time.Now()):
 		return fmt.Errorf("%w: %s", ErrLeaseExpired, id)
--- a/internal/duty/manager.go
+++ b/internal/duty/manager.go
@@ -42,7 +42,7 @@
 	Incarnation uint64        // differs each time that the controller starts
 	Lease       time.Duration // of the duties; 0: duties are off
 	Store       Store
-	Cache       *RecordCache
+	RecordCache *RecordCache
 	// Ready reports whether all controllers can decode what is stored for duties.
 	Ready      func() bool
 	Membership func() Membership
@@ -171,7 +171,7 @@
 
 // recordHeldLocked does what recordHeld does for one duty.
 func (mgr *Manager) recordHeldLocked(id ID, now time.Time) {
-	h := mgr.opts.Cache.holderOf(id)
+	h := mgr.opts.RecordCache.holderOf(id)
 	previous := mgr.held[id]
 	holds := h.Node == mgr.opts.Node && h.Session == mgr.session.version && !h.corrupt
 	switch {
--- a/internal/duty/rentals.go
+++ b/internal/duty/rentals.go
@@ -30,7 +30,7 @@
 
 // OpenRentals returns the requests that are recorded and not known to be answered, of this
 // controller and of earlier holders, the oldest intent first.
-func (a *Actions) OpenRentals() []OpenRental { return a.opts.Cache.openRentals() }
+func (a *Actions) OpenRentals() []OpenRental { return a.opts.RecordCache.openRentals() }
 
 // RecordRentals records requests before they are sent, as many of them as fit one intent.
 // With duties off it records nothing and returns an intent of all requests. It returns an
@@ -46,7 +46,7 @@
 		return OpenRental{}, fmt.Errorf("recording %d rentals: %w", len(requests), err)
 	}
 	a.recordEvent(EventRentalRecorded, guard.id, wire.DutyEvent{Token: guard.token, Count: len(requests), TookS: time.Since(began).Seconds()})
-	open, ok := a.opts.Cache.openRental(key)
+	open, ok := a.opts.RecordCache.openRental(key)
 	if !ok {
 		return OpenRental{}, fmt.Errorf("%w: renting under %s", ErrNoIntent, key)
 	}
@@ -60,7 +60,7 @@
 	if err := a.checkGuard(guard); err != nil {
 		return nil, err
 	}
-	if !guard.unfenced && !a.opts.Cache.hasRentalIntent(req.RequestID) {
+	if !guard.unfenced && !a.opts.RecordCache.hasRentalIntent(req.RequestID) {
 		return nil, fmt.Errorf("%w: renting %s", ErrNoIntent, req.RequestID)
 	}
 	began := time.Now()
--- a/internal/duty/report.go
+++ b/internal/duty/report.go
@@ -12,7 +12,7 @@
 func (mgr *Manager) Report() wire.Duties {
 	report := wire.Duties{
 		Node: mgr.opts.Node, Active: mgr.Active(), LeaseS: mgr.opts.Lease.Seconds(),
-		Duties: mgr.reportDuties(), Returns: mgr.opts.Cache.reportReturns(), Rentals: mgr.opts.Cache.reportRentals(),
+		Duties: mgr.reportDuties(), Returns: mgr.opts.RecordCache.reportReturns(), Rentals: mgr.opts.RecordCache.reportRentals(),
 		Events: mgr.opts.History.Events(), Counts: map[string]int{},
 	}
 	for _, kind := range Kinds() {
@@ -24,7 +24,7 @@
 // reportDuties lists the duties by ID.
 func (mgr *Manager) reportDuties() []wire.Duty {
 	duties := []wire.Duty{}
-	for id, h := range mgr.opts.Cache.allHolders() {
+	for id, h := range mgr.opts.RecordCache.allHolders() {
 		duties = append(duties, wire.Duty{ID: id.String(), Holder: h.Node, Token: h.token, Corrupt: h.corrupt, Leader: mgr.check(id, h.token) == nil})
 	}
 	slices.SortFunc(duties, func(a, b wire.Duty) int { return strings.Compare(a.ID, b.ID) })
@@ -56,7 +56,7 @@
 // Held counts the duties that this controller may act for now.
 func (mgr *Manager) Held() int {
 	held := 0
-	for id, h := range mgr.opts.Cache.allHolders() {
+	for id, h := range mgr.opts.RecordCache.allHolders() {
 		if mgr.check(id, h.token) == nil {
 			held++
 		}
--- a/internal/duty/returns.go
+++ b/internal/duty/returns.go
@@ -24,13 +24,15 @@
 
 // HasReturnIntent reports whether an open intent of any controller returns a machine: no
 // controller may place on it. It also holds while duties are off.
-func (a *Actions) HasReturnIntent(machine string) bool { return a.opts.Cache.HasReturnIntent(machine) }
+func (a *Actions) HasReturnIntent(machine string) bool {
+	return a.opts.RecordCache.HasReturnIntent(machine)
+}
 
 // AbandonedReturns returns, sorted, the machines of open intents to return that only the leader
 // completes: those of nodes that are no longer members, and of earlier holders of a duty
 // for the fleet.
 func (a *Actions) AbandonedReturns() []string {
-	return a.opts.Cache.AbandonedReturns(a.opts.Membership().current)
+	return a.opts.RecordCache.AbandonedReturns(a.opts.Membership().current)
 }
 
 // ReturnIntent is the right to return machines: an intent is recorded, or duties are off.
@@ -139,7 +141,7 @@
 	a.forgetUncovered()
 	pending := func(machine string) bool { return !a.isReturned(machine) || !settled(machine) }
 	closed := 0
-	for _, open := range a.opts.Cache.openReturns() {
+	for _, open := range a.opts.RecordCache.openReturns() {
 		if closed == maxClosed {
 			return
 		}
@@ -163,7 +165,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	maps.DeleteFunc(a.returned, func(machine string, at time.Time) bool {
-		return !a.opts.Cache.HasReturnIntent(machine) && time.Since(at) > maxIntentDelay
+		return !a.opts.RecordCache.HasReturnIntent(machine) && time.Since(at) > maxIntentDelay
 	})
 }
 
--- a/internal/duty/session.go
+++ b/internal/duty/session.go
@@ -31,9 +31,9 @@
 // returns whether there is a valid one.
 func (mgr *Manager) keepSession(ctx context.Context, m Membership, renew bool) bool {
 	s := mgr.currentSession()
-	seen := mgr.opts.Cache.sessionOf(mgr.opts.Node)
+	seen := mgr.opts.RecordCache.sessionOf(mgr.opts.Node)
 	switch {
-	case s.lease == 0 || seen != s.version && mgr.opts.Cache.hasSeen(s.version):
+	case s.lease == 0 || seen != s.version && mgr.opts.RecordCache.hasSeen(s.version):
 		// There is none yet, its key is gone, or another incarnation of this node has
 		// begun one. Only one incarnation is a member.
 		return m.Since != 0 && mgr.beginSession(ctx, seen)
--- a/internal/failovertest/node.go
+++ b/internal/failovertest/node.go
@@ -80,11 +80,11 @@
 	n.client = state.NewClient(opts.State, state.NewBudget(unlimited, unlimited, maxChanges))
 	history := duty.NewHistory()
 	n.keeper = duty.NewManager(duty.ManagerOptions{
-		Node: opts.Name, Incarnation: opts.Seed, Lease: opts.Lease, Store: n.client, Cache: n.ledger,
+		Node: opts.Name, Incarnation: opts.Seed, Lease: opts.Lease, Store: n.client, RecordCache: n.ledger,
 		Ready: func() bool { return true }, Membership: n.membership, MaxChanges: maxChanges, History: history, Log: opts.Log,
 	})
 	n.actions = duty.NewActions(duty.ActionsOptions{
-		Node: opts.Name, Provider: opts.Provider, Manager: n.keeper, Cache: n.ledger,
+		Node: opts.Name, Provider: opts.Provider, Manager: n.keeper, RecordCache: n.ledger,
 		Committer: state.NewCommitter(n.client, maxChanges), Membership: n.membership, MaxValueBytes: valueBytes, History: history, Log: opts.Log,
 	})
 	return n
