--- a/internal/duty/actions.go
+++ b/internal/duty/actions.go
@@ -68,9 +68,9 @@
 	return &Actions{opts: opts, returned: map[string]time.Time{}, refusals: map[ID]time.Time{}}
 }
 
-// Unguarded returns Actions with duties off: every action is permitted, and no intent is
+// NewUnfencedActions returns Actions with duties off: every action is permitted, and no intent is
 // recorded.
-func Unguarded(provider Provider, log *slog.Logger) *Actions {
+func NewUnfencedActions(provider Provider, log *slog.Logger) *Actions {
 	cache, history := NewRecordCache(log), NewHistory()
 	manager := NewManager(ManagerOptions{RecordCache: cache, History: history, Log: log})
 	return NewActions(ActionsOptions{
