--- a/cmd/heronwick/duties.go
+++ b/cmd/heronwick/duties.go
@@ -53,10 +53,10 @@
 func (c *controller) dutyMembership() duty.Membership {
 	view := c.members.View()
 	membership := duty.Membership{
-		Epoch:   view.Condition,
-		Leads:   view.Leader && view.Member,
-		Members: map[string]uint64{},
-		Fresh:   c.members.Fresh(),
+		Epoch:    view.Condition,
+		IsLeader: view.Leader && view.Member,
+		Members:  map[string]uint64{},
+		Fresh:    c.members.Fresh(),
 	}
 	for node, record := range view.Epoch.Members {
 		membership.Members[node] = record.Since
--- a/cmd/heronwick/metrics.go
+++ b/cmd/heronwick/metrics.go
@@ -68,13 +68,13 @@
 func (d duties) gauges() []server.Gauge {
 	gauges := []server.Gauge{
 		{Name: "heronwick_duty_held", Help: "Single duties that this controller may act for.",
-			Value: func() float64 { return float64(d.keeper.Held()) }},
+			Value: func() float64 { return float64(d.keeper.HeldCount()) }},
 		{Name: "heronwick_duty_open_condemnations", Help: "Intents to return machines that are not closed, of all controllers.",
 			Value: func() float64 { return float64(d.ledger.OpenIntents().Returns) }},
 		{Name: "heronwick_duty_open_rentals", Help: "Intents to rent that are not closed, of all controllers.",
 			Value: func() float64 { return float64(d.ledger.OpenIntents().Rentals) }},
 	}
-	for _, kind := range duty.Kinds() {
+	for _, kind := range duty.EventKinds() {
 		gauges = append(gauges, server.Gauge{
 			Name:  "heronwick_duty_" + string(kind),
 			Help:  "Events of this kind at this controller since it started; see the operators' page.",
--- a/internal/duty/history.go
+++ b/internal/duty/history.go
@@ -24,8 +24,8 @@
 	EventClosed         EventKind = "closed"     // an intent was removed
 )
 
-// Kinds lists the kinds of events.
-func Kinds() []EventKind {
+// EventKinds lists the kinds of events.
+func EventKinds() []EventKind {
 	return []EventKind{
 		EventAcquired, EventLost, EventRefused,
 		EventReturnRecorded, EventReturned, EventUnrecorded,
--- a/internal/duty/manager.go
+++ b/internal/duty/manager.go
@@ -24,11 +24,11 @@
 
 // Membership is the newest epoch that a controller knows, as far as duties depend on it.
 type Membership struct {
-	Epoch   wire.Condition    // holds while no newer epoch was written
-	Since   uint64            // epoch version from which this controller is a member; 0: it is none
-	Leads   bool              // this controller is the leader
-	Members map[string]uint64 // Since of each member, by node
-	Fresh   bool              // everything written under older epochs has been seen
+	Epoch    wire.Condition    // holds while no newer epoch was written
+	Since    uint64            // epoch version from which this controller is a member; 0: it is none
+	IsLeader bool              // this controller is the leader
+	Members  map[string]uint64 // Since of each member, by node
+	Fresh    bool              // everything written under older epochs has been seen
 }
 
 // current reports whether a node's membership is one of the epoch's.
@@ -125,7 +125,7 @@
 		return nil
 	}
 	ids := []ID{{Return, Shard(mgr.opts.Node)}, {Cleanup, Shard(mgr.opts.Node)}}
-	if m.Leads {
+	if m.IsLeader {
 		ids = append(ids, ID{Rent, Fleet}, ID{Reclaim, Fleet}, ID{Cleanup, Fleet})
 	}
 	return ids
--- a/internal/duty/report.go
+++ b/internal/duty/report.go
@@ -15,7 +15,7 @@
 		Duties: mgr.reportDuties(), Returns: mgr.opts.RecordCache.reportReturns(), Rentals: mgr.opts.RecordCache.reportRentals(),
 		Events: mgr.opts.History.Events(), Counts: map[string]int{},
 	}
-	for _, kind := range Kinds() {
+	for _, kind := range EventKinds() {
 		report.Counts[string(kind)] = mgr.opts.History.Count(kind)
 	}
 	return report
@@ -53,8 +53,8 @@
 	return intents
 }
 
-// Held counts the duties that this controller may act for now.
-func (mgr *Manager) Held() int {
+// HeldCount counts the duties that this controller may act for now.
+func (mgr *Manager) HeldCount() int {
 	held := 0
 	for id, h := range mgr.opts.RecordCache.allHolders() {
 		if mgr.check(id, h.token) == nil {
--- a/internal/failovertest/node.go
+++ b/internal/failovertest/node.go
@@ -96,7 +96,7 @@
 	defer n.mu.Unlock()
 	return duty.Membership{
 		Epoch: wire.Condition{Key: epochKey, Version: n.version}, Since: n.epoch.Nodes[n.opts.Name],
-		Leads: n.epoch.Leader == n.opts.Name, Members: n.epoch.Nodes, Fresh: n.revision >= n.version,
+		IsLeader: n.epoch.Leader == n.opts.Name, Members: n.epoch.Nodes, Fresh: n.revision >= n.version,
 	}
 }
 
@@ -173,7 +173,7 @@
 // step completes what earlier holders have begun, and then takes one action at random.
 func (n *Node) step(ctx context.Context) {
 	n.actions.CloseReturns(ctx, duty.ID{Name: duty.Cleanup, Scope: duty.Shard(n.opts.Name)}, func(string) bool { return true })
-	if !n.membership().Leads {
+	if !n.membership().IsLeader {
 		return
 	}
 	if abandoned := n.actions.AbandonedReturns(); len(abandoned) > 0 {
