--- a/cmd/heronwick/controller.go
+++ b/cmd/heronwick/controller.go
@@ -57,11 +57,11 @@
 	overload overload.Meter
 	latency  func() time.Duration // of scheduling in this process, as overload measures it
 
-	scheduler     atomic.Pointer[scheduler.Scheduler] // nil while this controller is not a member
-	placeRequests remote.RequestHistory               // outlives the schedulers
-	progress      atomic.Pointer[[]*peerpb.Progress]  // of the scheduler's jobs, as last collected
-	unusedRates   atomic.Pointer[unusedRates]         // nil until first measured
-	unreachableAt atomic.Int64                        // when most workers could last not be reached, in Unix nanoseconds
+	scheduler            atomic.Pointer[scheduler.Scheduler] // nil while this controller is not a member
+	placeRequests        remote.RequestHistory               // outlives the schedulers
+	progress             atomic.Pointer[[]*peerpb.Progress]  // of the scheduler's jobs, as last collected
+	unusedRates          atomic.Pointer[unusedRates]         // nil until first measured
+	workersUnreachableAt atomic.Int64                        // when most workers could last not be reached, in Unix nanoseconds
 }
 
 // newController makes a controller; run and server.Serve start it.
@@ -92,7 +92,7 @@
 func (c *controller) run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return c.members.Run(ctx) })
-	g.Go(func() error { return c.duties.keeper.Run(ctx) })
+	g.Go(func() error { return c.duties.manager.Run(ctx) })
 	g.Go(func() error { return c.jobs.Run(ctx) })
 	g.Go(func() error { return c.machineTypes.Run(ctx) })
 	g.Go(func() error { return wait.Every(ctx, logUsageInterval, c.logUsage) })
--- a/cmd/heronwick/duties.go
+++ b/cmd/heronwick/duties.go
@@ -13,21 +13,21 @@
 // acquired or recorded, but other controllers' intents to return machines are
 // respected.
 type duties struct {
-	ledger  *duty.RecordCache
-	keeper  *duty.Manager
-	actions *duty.Actions
-	history *duty.History
+	recordCache *duty.RecordCache
+	manager     *duty.Manager
+	actions     *duty.Actions
+	history     *duty.History
 }
 
 // newDuties makes the duties of a controller whose client and committer are there.
 func newDuties(c *controller) duties {
-	d := duties{ledger: duty.NewRecordCache(c.log), history: duty.NewHistory()}
-	d.keeper = duty.NewManager(duty.ManagerOptions{
+	d := duties{recordCache: duty.NewRecordCache(c.log), history: duty.NewHistory()}
+	d.manager = duty.NewManager(duty.ManagerOptions{
 		Node:        c.settings.Node,
 		Incarnation: rand.Uint64(),
 		Lease:       c.settings.DutyLease,
 		Store:       c.client,
-		RecordCache: d.ledger,
+		RecordCache: d.recordCache,
 		Ready:       func() bool { return c.members.Supports(cluster.LevelDuties) },
 		Membership:  c.dutyMembership,
 		MaxChanges:  c.settings.MaxTxnOps,
@@ -37,8 +37,8 @@
 	d.actions = duty.NewActions(duty.ActionsOptions{
 		Node:          c.settings.Node,
 		Provider:      c.external.cloud,
-		Manager:       d.keeper,
-		RecordCache:   d.ledger,
+		Manager:       d.manager,
+		RecordCache:   d.recordCache,
 		Committer:     c.committer,
 		Membership:    c.dutyMembership,
 		MaxValueBytes: c.settings.MaxValueBytes,
@@ -70,7 +70,7 @@
 // cleanupConditions returns the conditions under which this controller may remove
 // the cluster's records, or an error if it does not hold the duty to.
 func (d duties) cleanupConditions() ([]wire.Condition, error) {
-	guard, err := d.keeper.Guard(duty.ID{Name: duty.Cleanup, Scope: duty.Fleet})
+	guard, err := d.manager.Guard(duty.ID{Name: duty.Cleanup, Scope: duty.Fleet})
 	if err != nil {
 		return nil, err
 	}
@@ -79,12 +79,12 @@
 
 // handOverDuty gives up a duty, NAME/SCOPE, for an operator. Those for the whole
 // fleet are the leader's, so it gives up leading too.
-func (c *controller) handOverDuty(ctx context.Context, text string) error {
-	id, err := duty.ParseID(text)
+func (c *controller) handOverDuty(ctx context.Context, name string) error {
+	id, err := duty.ParseID(name)
 	if err != nil {
 		return err
 	}
-	if err := c.duties.keeper.HandOver(ctx, id); err != nil {
+	if err := c.duties.manager.HandOver(ctx, id); err != nil {
 		return err
 	}
 	if id.Scope == duty.Fleet {
@@ -95,10 +95,10 @@
 
 // clearDuty removes the record of a duty, NAME/SCOPE, that cannot be read, for an
 // operator.
-func (c *controller) clearDuty(ctx context.Context, text string) error {
-	id, err := duty.ParseID(text)
+func (c *controller) clearDuty(ctx context.Context, name string) error {
+	id, err := duty.ParseID(name)
 	if err != nil {
 		return err
 	}
-	return c.duties.keeper.Clear(ctx, id)
+	return c.duties.manager.Clear(ctx, id)
 }
--- a/cmd/heronwick/dutiescommand.go
+++ b/cmd/heronwick/dutiescommand.go
@@ -60,15 +60,15 @@
 		return err
 	}
 	fmt.Printf("%s: single duties are active: %v, lease %gs\n", duties.Node, duties.Active, duties.LeaseS)
-	for _, held := range duties.Duties {
-		holder := held.Holder
+	for _, entry := range duties.Duties {
+		holder := entry.Holder
 		switch {
-		case held.Corrupt:
+		case entry.Corrupt:
 			holder = "(its record cannot be read)"
 		case holder == "":
 			holder = "(nobody)"
 		}
-		fmt.Printf("%-24s token %-10d %s\n", held.ID, held.Token, holder)
+		fmt.Printf("%-24s token %-10d %s\n", entry.ID, entry.Token, holder)
 	}
 	for _, intent := range duties.Returns {
 		fmt.Printf("condemned under token %d, %s: %s\n", intent.Token, intent.Reason, strings.Join(intent.Machines, " "))
--- a/cmd/heronwick/httpserver.go
+++ b/cmd/heronwick/httpserver.go
@@ -17,7 +17,7 @@
 		Ready:             c.ready,
 		SchedulingLatency: func() time.Duration { return c.latency() },
 		DependencyGraphs:  func() []wire.DAG { return c.jobs.DependencyGraphs(time.Now()) },
-		DutyReport:        c.duties.keeper.Report,
+		DutyReport:        c.duties.manager.Report,
 		HandOverDuty:      c.handOverDuty,
 		ClearDuty:         c.clearDuty,
 		Gauges:            c.gauges(),
@@ -41,9 +41,9 @@
 	return server.HeartbeatResult{Redirect: target}
 }
 
-// stateSilence is how long the key-value store may be silent before a controller
+// stateHealthWindow is how long the key-value store may be silent before a controller
 // takes it for unreachable.
-const stateSilence = 3 * time.Second
+const stateHealthWindow = 3 * time.Second
 
 // ready reports whether this controller can take requests. In an outage of the
 // key-value store all controllers stay ready, since being removed costs more than
@@ -53,7 +53,7 @@
 	if !c.jobs.Ready() || c.machineTypes.Types() == nil {
 		return false
 	}
-	if c.transport.Healthy(stateSilence) {
+	if c.transport.Healthy(stateHealthWindow) {
 		return !c.members.Isolated()
 	}
 	return c.members.LivePeerCount() > 0 && len(c.members.PeersReachingStore()) == 0
--- a/cmd/heronwick/main.go
+++ b/cmd/heronwick/main.go
@@ -66,9 +66,9 @@
 	}
 }
 
-// newLog makes a log of text lines that name the node.
-func newLog(w io.Writer, level logLevel, node string) *slog.Logger {
-	var least slog.Level
-	_ = least.UnmarshalText([]byte(level)) // the argument's enum allows only valid ones
-	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: least})).With("node", node)
+// newLogger makes a log of text lines that name the node.
+func newLogger(w io.Writer, level logLevel, node string) *slog.Logger {
+	var minLevel slog.Level
+	_ = minLevel.UnmarshalText([]byte(level)) // the argument's enum allows only valid ones
+	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: minLevel})).With("node", node)
 }
--- a/cmd/heronwick/membership.go
+++ b/cmd/heronwick/membership.go
@@ -37,7 +37,7 @@
 		TeamWeights:       c.teamWeights,
 		Progress:          c.lastProgress,
 		OnProgress:        c.recordPeerProgress,
-		WatchHandler:      c.duties.ledger,
+		WatchHandler:      c.duties.recordCache,
 		CleanupConditions: c.duties.cleanupConditions,
 		Log:               c.log,
 	})
@@ -79,7 +79,7 @@
 // epochChanged is called when the epoch or a machine's owner has changed.
 func (c *controller) epochChanged() {
 	c.setRates()
-	c.duties.keeper.TriggerReconcile()
+	c.duties.manager.TriggerReconcile()
 	if s := c.scheduler.Load(); s != nil {
 		s.EpochChanged()
 	}
--- a/cmd/heronwick/metrics.go
+++ b/cmd/heronwick/metrics.go
@@ -16,7 +16,7 @@
 
 // schedulerGauges returns the metrics of the machines that the scheduler owns.
 func (c *controller) schedulerGauges() []server.Gauge {
-	fromStatus := func(value func(*peerpb.Status) float64) func() float64 {
+	statusValue := func(value func(*peerpb.Status) float64) func() float64 {
 		return func() float64 {
 			var status peerpb.Status
 			c.fillStatus(&status)
@@ -25,13 +25,13 @@
 	}
 	return []server.Gauge{
 		{Name: "heronwick_share_machines", Help: "Machines of this controller's share.",
-			Value: fromStatus(func(s *peerpb.Status) float64 { return float64(s.Machines) })},
+			Value: statusValue(func(s *peerpb.Status) float64 { return float64(s.Machines) })},
 		{Name: "heronwick_share_idle_machines", Help: "Usable machines of the share without tasks.",
-			Value: fromStatus(func(s *peerpb.Status) float64 { return float64(s.Idle) })},
+			Value: statusValue(func(s *peerpb.Status) float64 { return float64(s.Idle) })},
 		{Name: "heronwick_share_cpus", Help: "CPUs of the share's usable machines.",
-			Value: fromStatus(func(s *peerpb.Status) float64 { return s.Cpus })},
+			Value: statusValue(func(s *peerpb.Status) float64 { return s.Cpus })},
 		{Name: "heronwick_share_free_cpus", Help: "Free CPUs of the share's usable machines.",
-			Value: fromStatus(func(s *peerpb.Status) float64 { return s.FreeCpus })},
+			Value: statusValue(func(s *peerpb.Status) float64 { return s.FreeCpus })},
 	}
 }
 
@@ -68,11 +68,11 @@
 func (d duties) gauges() []server.Gauge {
 	gauges := []server.Gauge{
 		{Name: "heronwick_duty_held", Help: "Single duties that this controller may act for.",
-			Value: func() float64 { return float64(d.keeper.HeldCount()) }},
+			Value: func() float64 { return float64(d.manager.HeldCount()) }},
 		{Name: "heronwick_duty_open_condemnations", Help: "Intents to return machines that are not closed, of all controllers.",
-			Value: func() float64 { return float64(d.ledger.OpenIntents().Returns) }},
+			Value: func() float64 { return float64(d.recordCache.OpenIntents().Returns) }},
 		{Name: "heronwick_duty_open_rentals", Help: "Intents to rent that are not closed, of all controllers.",
-			Value: func() float64 { return float64(d.ledger.OpenIntents().Rentals) }},
+			Value: func() float64 { return float64(d.recordCache.OpenIntents().Rentals) }},
 	}
 	for _, kind := range duty.EventKinds() {
 		gauges = append(gauges, server.Gauge{
--- a/cmd/heronwick/peers.go
+++ b/cmd/heronwick/peers.go
@@ -70,9 +70,9 @@
 	return transports
 }
 
-// unreachablePeriod is how long a controller that could not reach its workers
+// workersUnreachableHoldTime is how long a controller that could not reach its workers
 // tells its peers so.
-const unreachablePeriod = 15 * time.Second
+const workersUnreachableHoldTime = 15 * time.Second
 
 // fillStatus fills in what the heartbeats to the peers say of this controller.
 func (c *controller) fillStatus(status *peerpb.Status) {
@@ -85,10 +85,10 @@
 		status.Short, status.Late = unused.short, unused.late
 	}
 	if status.Cut {
-		c.unreachableAt.Store(time.Now().UnixNano())
+		c.workersUnreachableAt.Store(time.Now().UnixNano())
 	}
 	// It stays so for a while after its scheduler has ended for it.
-	status.Cut = time.Since(time.Unix(0, c.unreachableAt.Load())) < unreachablePeriod
+	status.Cut = time.Since(time.Unix(0, c.workersUnreachableAt.Load())) < workersUnreachableHoldTime
 }
 
 // progressInterval is how often the progress of jobs is collected, for display.
--- a/cmd/heronwick/ratelimits.go
+++ b/cmd/heronwick/ratelimits.go
@@ -21,14 +21,14 @@
 	// balanceInterval is how often the controllers balance what they use of the
 	// rate limits; the peers hear of it with the next heartbeat.
 	balanceInterval = time.Second
-	// shortAfter is how long a request must have waited for the rate limits for
+	// shortWaitThreshold is how long a request must have waited for the rate limits for
 	// this controller to count as short of them.
-	shortAfter = 40 * time.Millisecond
-	// lateAfter is how long a write that is more important than submissions must
+	shortWaitThreshold = 40 * time.Millisecond
+	// lateWriteThreshold is how long a write that is more important than submissions must
 	// have waited for this controller to count as late.
-	lateAfter = 2 * time.Second
-	// headroom is how many times what it uses a controller keeps.
-	headroom = 1.3
+	lateWriteThreshold = 2 * time.Second
+	// headroomFactor is how many times what it uses a controller keeps.
+	headroomFactor = 1.3
 )
 
 const (
@@ -74,13 +74,13 @@
 // as the limits are divided.
 func (c *controller) balanceRates() {
 	base := c.baseRates()
-	window := c.budget.TotalUsage()
-	perSecond := headroom / balanceInterval.Seconds()
+	usage := c.budget.TotalUsage()
+	perSecond := headroomFactor / balanceInterval.Seconds()
 	c.unusedRates.Store(&unusedRates{
-		requests: max(0, base.requests-perSecond*float64(window.Requests)-1),
-		writes:   max(0, base.writes-perSecond*float64(window.Writes)-1),
-		short:    window.LongestWait > shortAfter,
-		late:     c.committer.LongestWait(state.Safety) > lateAfter,
+		requests: max(0, base.requests-perSecond*float64(usage.Requests)-1),
+		writes:   max(0, base.writes-perSecond*float64(usage.Writes)-1),
+		short:    usage.LongestWait > shortWaitThreshold,
+		late:     c.committer.LongestWait(state.Safety) > lateWriteThreshold,
 	})
 	c.setRates()
 }
--- a/cmd/heronwick/runcommand.go
+++ b/cmd/heronwick/runcommand.go
@@ -42,7 +42,7 @@
 		defer stop()
 		shutdown = terminated.Done()
 	}
-	log := newLog(os.Stderr, level, settings.Node)
+	log := newLogger(os.Stderr, level, settings.Node)
 	if err := serve(context.Background(), shutdown, settings, log); !errors.Is(err, errShutdown) {
 		return err
 	}
@@ -64,9 +64,9 @@
 	return settings, nil
 }
 
-// trimInterval is how often connections to workers are closed that are too many
+// connectionTrimInterval is how often connections to workers are closed that are too many
 // to keep.
-const trimInterval = 500 * time.Millisecond
+const connectionTrimInterval = 500 * time.Millisecond
 
 // serve runs a controller until ctx ends, shutdown is closed or a part of it
 // fails. It returns nil, errShutdown or the first error, respectively.
@@ -87,7 +87,7 @@
 	g.Go(func() error { return c.server.Serve(ctx, listeners.clients) })
 	g.Go(func() error { return peerService.Serve(ctx, listeners.peers) })
 	g.Go(func() error { return c.run(ctx) })
-	g.Go(func() error { return wait.Every(ctx, trimInterval, workers.TrimConnections) })
+	g.Go(func() error { return wait.Every(ctx, connectionTrimInterval, workers.TrimConnections) })
 	g.Go(func() error { return c.overload.Run(ctx) })
 	g.Go(func() error { return c.resignOnShutdown(ctx, shutdown) })
 	return g.Wait()
