--- a/cmd/heronwick/controller.go
+++ b/cmd/heronwick/controller.go
@@ -22,22 +22,23 @@
 	"heronwick/internal/wait"
 )
 
-// machineCloud is the cloud that machines are rented from.
+// machineCloud is the cloud provider from which machines are rented.
 type machineCloud interface {
 	cloud.Source
 	scheduler.Cloud
 	duty.Provider
 }
 
-// externalServices is everything beyond this process that a controller talks to.
+// externalServices are the connections of a controller to everything outside its
+// process.
 type externalServices struct {
 	state   state.Transport
 	cloud   machineCloud
 	workers scheduler.Workers
-	peers   map[string]peer // by node
+	peers   map[string]peer // by node name
 }
 
-// controller wires the parts of one controller together.
+// controller holds the components of one controller and connects them.
 type controller struct {
 	settings *config.Settings
 	external externalServices
@@ -55,16 +56,17 @@
 	server       *server.Server
 
 	overload overload.Meter
-	latency  func() time.Duration // of scheduling in this process, as overload measures it
+	latency  func() time.Duration // scheduling latency of this process, measured by overload
 
 	scheduler            atomic.Pointer[scheduler.Scheduler] // nil while this controller is not a member
-	placeRequests        remote.RequestHistory               // outlives the schedulers
-	progress             atomic.Pointer[[]*peerpb.Progress]  // of the scheduler's jobs, as last collected
-	unusedRates          atomic.Pointer[unusedRates]         // nil until first measured
-	workersUnreachableAt atomic.Int64                        // when most workers could last not be reached, in Unix nanoseconds
+	placeRequests        remote.RequestHistory               // shared by successive schedulers
+	progress             atomic.Pointer[[]*peerpb.Progress]  // of the scheduler's jobs, from the last collectProgress
+	unusedRates          atomic.Pointer[unusedRates]         // nil before the first balanceRates
+	workersUnreachableAt atomic.Int64                        // last time most workers were unreachable, in Unix nanoseconds
 }
 
-// newController makes a controller; run and server.Serve start it.
+// newController creates a controller. It does nothing until run and server.Serve are
+// called.
 func newController(settings *config.Settings, external externalServices, log *slog.Logger) *controller {
 	c := &controller{settings: settings, external: external, log: log}
 	c.latency = c.overload.Latency
@@ -88,7 +90,8 @@
 	return c
 }
 
-// run takes part in the cluster until ctx ends. Serving is the caller's.
+// run runs the background work of the controller, including its cluster membership,
+// until ctx ends. It does not serve requests; the caller runs the servers.
 func (c *controller) run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return c.members.Run(ctx) })
--- a/cmd/heronwick/dagmonitor.go
+++ b/cmd/heronwick/dagmonitor.go
@@ -9,27 +9,27 @@
 	"heronwick/wire"
 )
 
-// dagCheckInterval is how often the dependency graphs of jobs are checked.
+// dagCheckInterval is the time between two checks of the dependency graphs of jobs.
 const dagCheckInterval = time.Second
 
-// dagMonitor warns operators of dependency graphs of jobs that are expected to
-// miss their deadlines. Its method check must not be called concurrently.
+// dagMonitor logs a warning for each dependency graph of jobs that is expected to miss
+// its deadline. Calls of check must not overlap.
 type dagMonitor struct {
 	jobs    *job.Store
 	ownsJob func(id string) bool
 	log     *slog.Logger
-	warned  map[string]bool // by the graph's sink
+	warned  map[string]bool // sinks of the graphs that were logged and are still live
 
-	live, inDanger atomic.Int64 // graphs, at the last check
-	endangered     atomic.Int64 // graphs that were warned of since the start
+	live, inDanger atomic.Int64 // numbers of graphs at the last check
+	endangered     atomic.Int64 // number of warnings since the start
 }
 
 func newDAGMonitor(jobs *job.Store, ownsJob func(id string) bool, log *slog.Logger) *dagMonitor {
 	return &dagMonitor{jobs: jobs, ownsJob: ownsJob, log: log, warned: map[string]bool{}}
 }
 
-// check finds the graphs that are in danger of missing their deadlines. Each is
-// logged once, by the owner of its sink.
+// check counts the live graphs and those that are in danger of missing their deadlines.
+// The owner of a graph's sink logs the graph once when it comes into danger.
 func (m *dagMonitor) check() {
 	graphs := m.jobs.DependencyGraphs(time.Now())
 	warned := map[string]bool{}
@@ -53,7 +53,7 @@
 	m.inDanger.Store(inDanger)
 }
 
-// warn logs a graph that is in danger, with the jobs that are not done yet.
+// warn logs a graph that is in danger, with its unfinished jobs.
 func (m *dagMonitor) warn(graph *wire.DAG) {
 	m.endangered.Add(1)
 	var unfinished []string
@@ -62,7 +62,8 @@
 			unfinished = append(unfinished, j.ID)
 		}
 	}
-	// Operators know these graphs as chains, from the path and the metrics.
+	// The operator interface, that is the path /chains and the metrics, calls these
+	// graphs chains, so the message does too.
 	m.log.Warn("a chain of jobs is in danger of missing its deadline", "last", graph.Sink, "left_s", *graph.LeftS,
 		"expected_s", graph.ExpectedS, "unfinished", unfinished)
 }
--- a/cmd/heronwick/duties.go
+++ b/cmd/heronwick/duties.go
@@ -9,9 +9,10 @@
 	"heronwick/wire"
 )
 
-// duties is a controller's part in the single duties. With a lease of 0 nothing is
-// acquired or recorded, but other controllers' intents to return machines are
-// respected.
+// duties holds what a controller needs for the single duties, each of which at most one
+// controller performs at a time. With a lease of 0 duties are off: this controller
+// acquires no duty and records no intent, but it still respects other controllers'
+// intents to return machines.
 type duties struct {
 	recordCache *duty.RecordCache
 	manager     *duty.Manager
@@ -19,7 +20,7 @@
 	history     *duty.History
 }
 
-// newDuties makes the duties of a controller whose client and committer are there.
+// newDuties creates the duties of a controller. Its client and committer must be set.
 func newDuties(c *controller) duties {
 	d := duties{recordCache: duty.NewRecordCache(c.log), history: duty.NewHistory()}
 	d.manager = duty.NewManager(duty.ManagerOptions{
@@ -48,8 +49,8 @@
 	return d
 }
 
-// dutyMembership returns the epoch and this controller's part in it, as the duties
-// need them.
+// dutyMembership returns the current epoch and this controller's role in it in the form
+// that package duty uses.
 func (c *controller) dutyMembership() duty.Membership {
 	view := c.members.View()
 	membership := duty.Membership{
@@ -67,8 +68,8 @@
 	return membership
 }
 
-// cleanupConditions returns the conditions under which this controller may remove
-// the cluster's records, or an error if it does not hold the duty to.
+// cleanupConditions returns the conditions that a transaction needs in order to remove
+// records of the cluster, or an error if this controller does not hold the cleanup duty.
 func (d duties) cleanupConditions() ([]wire.Condition, error) {
 	guard, err := d.manager.Guard(duty.ID{Name: duty.Cleanup, Scope: duty.Fleet})
 	if err != nil {
@@ -77,8 +78,9 @@
 	return guard.Conditions(), nil
 }
 
-// handOverDuty gives up a duty, NAME/SCOPE, for an operator. Those for the whole
-// fleet are the leader's, so it gives up leading too.
+// handOverDuty gives up a duty, named NAME/SCOPE, at an operator's request. Duties whose
+// scope is the whole fleet belong to the leader, so for these this controller also gives
+// up its leadership.
 func (c *controller) handOverDuty(ctx context.Context, name string) error {
 	id, err := duty.ParseID(name)
 	if err != nil {
@@ -93,8 +95,8 @@
 	return nil
 }
 
-// clearDuty removes the record of a duty, NAME/SCOPE, that cannot be read, for an
-// operator.
+// clearDuty removes the corrupt record of a duty, named NAME/SCOPE, at an operator's
+// request.
 func (c *controller) clearDuty(ctx context.Context, name string) error {
 	id, err := duty.ParseID(name)
 	if err != nil {
--- a/cmd/heronwick/httpserver.go
+++ b/cmd/heronwick/httpserver.go
@@ -7,7 +7,8 @@
 	"heronwick/wire"
 )
 
-// newServer makes the HTTP interface of a controller whose other parts are there.
+// newServer creates the HTTP server of a controller. Its jobs, machineTypes, duties,
+// dagMonitor and members must be set.
 func newServer(c *controller) *server.Server {
 	return server.New(server.Options{
 		Settings:          c.settings,
@@ -25,8 +26,9 @@
 	})
 }
 
-// handleWorkerHeartbeat returns the reply to a worker's heartbeat if this
-// controller may reply, and else the node that may, empty if none is known.
+// handleWorkerHeartbeat returns the reply to a worker's heartbeat if this controller may
+// reply. Otherwise it returns the node that the worker should send its heartbeats to, or
+// an empty result if no other node is known.
 func (c *controller) handleWorkerHeartbeat(heartbeat *wire.Heartbeat) server.HeartbeatResult {
 	if s := c.scheduler.Load(); s != nil {
 		if reply := s.HandleHeartbeat(heartbeat); reply != nil {
@@ -41,14 +43,15 @@
 	return server.HeartbeatResult{Redirect: target}
 }
 
-// stateHealthWindow is how long the key-value store may be silent before a controller
-// takes it for unreachable.
+// stateHealthWindow is how long after its last response, other than 503, the key-value
+// store counts as reachable.
 const stateHealthWindow = 3 * time.Second
 
-// ready reports whether this controller can take requests. In an outage of the
-// key-value store all controllers stay ready, since being removed costs more than
-// the outage; one that alone cannot reach it does not. Nor does one that hears no
-// other and is no member: it can confirm no cancellation, while others can.
+// ready reports whether this controller should receive requests. During an outage of
+// the key-value store all controllers stay ready, since removing all of them from load
+// balancing would do more harm than the outage. A controller is not ready if only it
+// cannot reach the store, or if it is not a member and hears no other controller: it
+// cannot confirm cancellations, but the others can.
 func (c *controller) ready() bool {
 	if !c.jobs.Ready() || c.machineTypes.Types() == nil {
 		return false
--- a/cmd/heronwick/main.go
+++ b/cmd/heronwick/main.go
@@ -1,9 +1,9 @@
 // Command heronwick is a controller of the heronwick cluster scheduler.
 //
-// "heronwick run", the default, runs a controller until it is killed; it exits
-// with 1 if it cannot run and with 2 if its arguments or settings are wrong.
-// "heronwick duties" has the operator's commands for single duties, which talk to
-// running controllers over HTTP.
+// "heronwick run", the default, runs a controller until it is killed. It exits with
+// status 1 if the controller fails and with status 2 if arguments or settings are
+// invalid. "heronwick duties" contains operator commands for the single duties, which
+// call running controllers over HTTP.
 package main
 
 import (
@@ -21,28 +21,28 @@
 // Exit codes.
 const (
 	exitFailure = 1 // the command failed
-	exitUsage   = 2 // wrong arguments or settings
+	exitUsage   = 2 // invalid arguments or settings
 )
 
-// arguments is what the command line may hold.
+// arguments defines the command line.
 type arguments struct {
 	Run      runCommand       `cmd:"" default:"withargs" help:"Run a controller until it is killed (the default)."`
-	Duties   dutiesCommand    `cmd:"" help:"Look at the single duties of running controllers."`
-	LogLevel string           `help:"How much to log to standard error: error, info or debug." env:"LOG_LEVEL" default:"info" enum:"error,info,debug"`
+	Duties   dutiesCommand    `cmd:"" help:"Inspect and change the single duties of running controllers."`
+	LogLevel string           `help:"Lowest level to log to standard error: error, info or debug." env:"LOG_LEVEL" default:"info" enum:"error,info,debug"`
 	Version  kong.VersionFlag `help:"Print the version and exit."`
 }
 
-// logLevel is the least level that is logged, as the command line names it.
+// logLevel is the lowest level that is logged, by its name on the command line.
 type logLevel string
 
-// usageError says that the arguments or the settings are wrong. It ends the
-// program with exitUsage.
+// usageError reports invalid arguments or settings. The program exits with exitUsage
+// for it.
 type usageError struct{ err error }
 
 // Error implements error.
 func (e usageError) Error() string { return e.err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (e usageError) Unwrap() error { return e.err }
 
 func main() {
@@ -66,9 +66,9 @@
 	}
 }
 
-// newLogger makes a log of text lines that name the node.
+// newLogger returns a logger that writes text lines to w, each with the node's name.
 func newLogger(w io.Writer, level logLevel, node string) *slog.Logger {
 	var minLevel slog.Level
-	_ = minLevel.UnmarshalText([]byte(level)) // the argument's enum allows only valid ones
+	_ = minLevel.UnmarshalText([]byte(level)) // cannot fail: the flag's enum allows only valid levels
 	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: minLevel})).With("node", node)
 }
--- a/cmd/heronwick/membership.go
+++ b/cmd/heronwick/membership.go
@@ -9,8 +9,8 @@
 	"heronwick/internal/scheduler"
 )
 
-// newCluster makes the membership of a controller whose client, jobs and duties
-// are there.
+// newCluster creates the cluster membership of a controller. Its client, transport, jobs
+// and duties must be set.
 func newCluster(c *controller) *cluster.Cluster {
 	peers := map[string]cluster.PeerClient{}
 	for node, p := range c.external.peers {
@@ -43,7 +43,8 @@
 	})
 }
 
-// runScheduler runs a scheduler for as long as this controller is a member.
+// runScheduler waits for the jobs and machine types to be loaded and then runs a
+// scheduler until ctx ends, which it does when this controller is no longer a member.
 func (c *controller) runScheduler(ctx context.Context, membership *cluster.Membership) error {
 	if err := c.machineTypes.WaitUntilLoaded(ctx); err != nil {
 		return err
@@ -70,13 +71,14 @@
 		Log:            c.log,
 	})
 	c.scheduler.Store(s)
-	// As soon as the membership ends: the scheduler's last work may take long.
+	// Clear the pointer as soon as the membership ends, not only when Run returns: the
+	// scheduler may take long to stop.
 	defer context.AfterFunc(ctx, func() { c.scheduler.CompareAndSwap(s, nil) })()
 	defer c.scheduler.CompareAndSwap(s, nil)
 	return s.Run(ctx)
 }
 
-// epochChanged is called when the epoch or a machine's owner has changed.
+// epochChanged is called when the epoch or the owner of a machine has changed.
 func (c *controller) epochChanged() {
 	c.setRates()
 	c.duties.manager.TriggerReconcile()
@@ -85,8 +87,8 @@
 	}
 }
 
-// teamWeights returns how much work each team has: what it is guaranteed and
-// what its jobs take.
+// teamWeights returns an estimate of each team's work: 1 plus its guaranteed CPUs plus
+// the CPUs of its active jobs.
 func (c *controller) teamWeights() map[string]float64 {
 	weights := map[string]float64{}
 	active := c.jobs.ActiveCPUsByTeam()
@@ -96,18 +98,18 @@
 	return weights
 }
 
-// ownsJob reports whether this controller schedules a job.
+// ownsJob reports whether this controller is a member and owns an active job.
 func (c *controller) ownsJob(id string) bool {
 	record := c.jobs.Active(id)
 	view := c.members.View()
 	return view.Member && record != nil && view.Epoch.OwnerOf(record.Job.Team, id) == c.settings.Node
 }
 
-// errShutdown ends a controller that was asked to end.
-var errShutdown = errors.New("asked to end")
+// errShutdown is returned by serve after a requested shutdown.
+var errShutdown = errors.New("shutdown requested")
 
-// resignOnShutdown waits until shutdown is closed, gives up leading and returns
-// errShutdown. It returns nil if ctx ends before.
+// resignOnShutdown waits until shutdown is closed, gives up leadership and returns
+// errShutdown. It returns nil if ctx ends first.
 func (c *controller) resignOnShutdown(ctx context.Context, shutdown <-chan struct{}) error {
 	select {
 	case <-ctx.Done():
@@ -118,12 +120,12 @@
 	}
 }
 
-// resignTimeout bounds what a controller does before it ends.
+// resignTimeout limits how long a controller takes to resign before it exits.
 const resignTimeout = 2 * time.Second
 
-// resign gives up leading before this controller ends. Whoever claims the epoch
-// ends its membership, and so takes the duties of the fleet without waiting for a
-// lease.
+// resign gives up leadership before this controller exits. The next leader starts an
+// epoch without this controller's membership, so it acquires the fleet's duties without
+// waiting for their lease to expire.
 func (c *controller) resign(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, resignTimeout)
 	defer cancel()
--- a/cmd/heronwick/peers.go
+++ b/cmd/heronwick/peers.go
@@ -20,8 +20,8 @@
 	Settle(ctx context.Context, req *peerpb.SettleRequest) (*peerpb.SettleReply, error)
 }
 
-// peerSchedulers implements scheduler.Peers by the connections to the other
-// controllers.
+// peerSchedulers implements scheduler.Peers with the connections to the other
+// controllers, by node name.
 type peerSchedulers map[string]peer
 
 var errNoPeer = errors.New("no such peer")
@@ -47,8 +47,8 @@
 	if s := c.scheduler.Load(); s != nil {
 		return s.Place(req)
 	}
-	// A late copy of the request must not be accepted by a scheduler that starts
-	// after it was refused here.
+	// Record the request, so that a scheduler that starts later rejects a delayed
+	// duplicate of it: the sender places the refused tasks elsewhere.
 	c.placeRequests.Accept(req)
 	return &peerpb.PlaceReply{}
 }
@@ -61,7 +61,7 @@
 	return &peerpb.SettleReply{}
 }
 
-// statePeers returns the peers through which the key-value store can be reached.
+// statePeers returns the connections to the peers that can reach the key-value store.
 func (c *controller) statePeers() []state.Transport {
 	var transports []state.Transport
 	for _, node := range c.members.PeersReachingStore() {
@@ -70,11 +70,11 @@
 	return transports
 }
 
-// workersUnreachableHoldTime is how long a controller that could not reach its workers
-// tells its peers so.
+// workersUnreachableHoldTime is how long a controller keeps reporting to its peers that
+// it could not reach most of its workers.
 const workersUnreachableHoldTime = 15 * time.Second
 
-// fillStatus fills in what the heartbeats to the peers say of this controller.
+// fillStatus fills in the status that this controller sends to its peers in heartbeats.
 func (c *controller) fillStatus(status *peerpb.Status) {
 	status.Ready = c.jobs.Ready() && c.machineTypes.Types() != nil
 	if s := c.scheduler.Load(); s != nil {
@@ -87,15 +87,17 @@
 	if status.Cut {
 		c.workersUnreachableAt.Store(time.Now().UnixNano())
 	}
-	// It stays so for a while after its scheduler has ended for it.
+	// Keep reporting it for a while after the scheduler, which detects it, has been
+	// stopped because of it.
 	status.Cut = time.Since(time.Unix(0, c.workersUnreachableAt.Load())) < workersUnreachableHoldTime
 }
 
-// progressInterval is how often the progress of jobs is collected, for display.
+// progressInterval is the time between two collections of job progress, which is only
+// displayed.
 const progressInterval = time.Second
 
-// collectProgress takes the progress of the scheduler's jobs, for this
-// controller's users and for the peers.
+// collectProgress stores the progress of the scheduler's jobs for status queries at this
+// controller and for the heartbeats to the peers.
 func (c *controller) collectProgress() {
 	var all []*peerpb.Progress
 	if s := c.scheduler.Load(); s != nil {
@@ -107,7 +109,8 @@
 	c.progress.Store(&all)
 }
 
-// lastProgress returns the progress that was last collected, for the peers.
+// lastProgress returns the progress that collectProgress stored last, for the heartbeats
+// to the peers.
 func (c *controller) lastProgress() []*peerpb.Progress {
 	if all := c.progress.Load(); all != nil {
 		return *all
@@ -115,7 +118,8 @@
 	return nil
 }
 
-// recordPeerProgress records the progress of a peer's jobs.
+// recordPeerProgress stores the progress of a peer's jobs for status queries at this
+// controller.
 func (c *controller) recordPeerProgress(all []*peerpb.Progress) {
 	for _, progress := range all {
 		c.jobs.SetProgress(progress.Job, job.Progress{Done: int(progress.Done), Running: int(progress.Running)})
--- a/cmd/heronwick/ratelimits.go
+++ b/cmd/heronwick/ratelimits.go
@@ -8,51 +8,52 @@
 	"heronwick/internal/state"
 )
 
-// How the rate limits of the key-value store are divided: a member besides the
-// leader has memberFraction, a controller that is no member, and so only accepts
-// jobs and answers users, nonMemberFraction. The leader has the rest: it also keeps
-// the epoch and takes over what others leave.
+// Fractions of the key-value store's rate limits. Each member other than the leader gets
+// memberFraction. A controller that is not a member only accepts jobs and answers users,
+// and gets nonMemberFraction. The leader gets the rest, because it also maintains the
+// epoch and takes over the jobs and machines of failed members.
 const (
 	memberFraction    = 0.3
 	nonMemberFraction = 0.1
 )
 
 const (
-	// balanceInterval is how often the controllers balance what they use of the
-	// rate limits; the peers hear of it with the next heartbeat.
+	// balanceInterval is the time between two measurements of the unused rates. The
+	// peers receive them with the next heartbeat.
 	balanceInterval = time.Second
-	// shortWaitThreshold is how long a request must have waited for the rate limits for
-	// this controller to count as short of them.
+	// shortWaitThreshold is the wait of a request for the rate limits above which this
+	// controller reports that its rates are too low.
 	shortWaitThreshold = 40 * time.Millisecond
-	// lateWriteThreshold is how long a write that is more important than submissions must
-	// have waited for this controller to count as late.
+	// lateWriteThreshold is the wait of a write with a higher priority than submissions
+	// above which this controller reports that its writes are late.
 	lateWriteThreshold = 2 * time.Second
-	// headroomFactor is how many times what it uses a controller keeps.
+	// headroomFactor times its current usage is what a controller keeps for itself.
 	headroomFactor = 1.3
 )
 
 const (
-	// backgroundFraction is the fraction of its writes that a controller uses for
-	// background work while a peer is short of them.
+	// backgroundFraction is the fraction of its write rate that a controller uses for
+	// background work while a peer's rates are too low.
 	backgroundFraction = 0.15
-	// submissionFraction is the fraction of its writes that a controller uses to
-	// accept jobs while a peer is late with what was accepted.
+	// submissionFraction is the fraction of its write rate that a controller uses to
+	// accept jobs while a peer is late with writes for jobs already accepted.
 	submissionFraction = 0.15
 )
 
-// baseRates is this controller's part of the rate limits of the key-value store.
+// baseRates is a controller's share of the key-value store's rate limits.
 type baseRates struct {
-	requests, writes float64 // a second
+	requests, writes float64 // per second
 }
 
-// baseRates returns this controller's part of the rate limits.
+// baseRates returns this controller's current share of the rate limits.
 func (c *controller) baseRates() baseRates {
 	view := c.members.View()
 	fraction := nonMemberFraction
 	switch {
 	case view.Leader:
-		// What has ended uses nothing. One that starts is heard within a heartbeat's
-		// interval, and until then asks for no more than the burst that the store allows.
+		// Only live controllers get a share, since a stopped one sends no requests. A
+		// starting one is not counted until its first heartbeat, that is for one heartbeat
+		// interval at most, and until then sends no more than the burst that the store allows.
 		members := float64(max(0, len(view.Epoch.Members)-1))
 		nonMembers := max(0, float64(c.members.LivePeerCount())-members)
 		fraction = max(memberFraction, 1-members*memberFraction-nonMembers*nonMemberFraction)
@@ -62,16 +63,17 @@
 	return baseRates{requests: c.settings.StateRequestRate * fraction, writes: c.settings.StateWriteRate * fraction}
 }
 
-// unusedRates is what this controller leaves of its part of the rate limits, a
-// second, and whether that part is too little.
+// unusedRates is the part of its share of the rate limits, per second, that this
+// controller does not use, and whether its share is too low (short) or its writes are
+// late.
 type unusedRates struct {
 	requests, writes float64
 	short, late      bool
 }
 
-// balanceRates measures what this controller leaves to its peers and takes what
-// they leave to it: the work is where the machines and the teams are, which is not
-// as the limits are divided.
+// balanceRates measures which rates this controller can leave to its peers and adds the
+// rates that they leave to it if it needs them. The load of a controller depends on the
+// machines and teams that it owns, so it does not match the fixed shares.
 func (c *controller) balanceRates() {
 	base := c.baseRates()
 	usage := c.budget.TotalUsage()
@@ -85,9 +87,9 @@
 	c.setRates()
 }
 
-// setRates sets the rates of this controller's budget: its part, and while it is
-// short also what the peers leave. While a peer is late this controller accepts few
-// jobs, and so leaves more.
+// setRates sets the rates of this controller's budget: its own share, and if that is too
+// low also a part of the peers' unused rates. While a peer's writes are late, this
+// controller accepts fewer jobs, so that it leaves more to the peer.
 func (c *controller) setRates() {
 	base := c.baseRates()
 	rates := state.Rates{Requests: base.requests, Writes: base.writes, BackgroundWrites: base.writes}
@@ -105,8 +107,8 @@
 	c.budget.SetRates(rates, c.settings.MaxTxnOps)
 }
 
-// addUnusedRates adds this controller's part of what the peers leave, which is
-// divided equally among the controllers that are short.
+// addUnusedRates adds this controller's part of the peers' unused rates. Each peer's
+// unused rates are divided equally among the controllers whose own share is too low.
 func addUnusedRates(rates *state.Rates, peers []*peerpb.Status) {
 	for _, p := range peers {
 		claimants := 1.0
@@ -120,15 +122,15 @@
 	}
 }
 
-// logUsageInterval is how often the use of the key-value store is logged.
+// logUsageInterval is the time between two logs of the usage of the key-value store.
 const logUsageInterval = 10 * time.Second
 
-// logUsage logs, for each priority, what was used of the rate limits and how long
-// requests waited for them.
+// logUsage logs, for each priority, how many requests and writes were sent and how long
+// requests waited for the rate limits.
 func (c *controller) logUsage() {
 	for priority, usage := range c.budget.UsageByPriority() {
 		if usage.Requests > 0 {
-			c.log.Info("state use", "work", state.Priority(priority), "requests", usage.Requests, "writes", usage.Writes,
+			c.log.Info("key-value store usage", "priority", state.Priority(priority), "requests", usage.Requests, "writes", usage.Writes,
 				"mean_wait", usage.TotalWait/time.Duration(usage.Requests), "longest_wait", usage.LongestWait)
 		}
 	}
--- a/cmd/heronwick/runcommand.go
+++ b/cmd/heronwick/runcommand.go
@@ -26,17 +26,17 @@
 
 // runCommand runs a controller.
 type runCommand struct {
-	Config    string        `help:"Settings file (TOML) handed over by the platform." required:"" type:"path" placeholder:"PATH"`
-	DutyLease time.Duration `help:"Lease of the single duties (renting, returning, reclaiming, clean-up); 0: they are off. At least 4s; up to three times as long where controllers have little of a core." env:"HERONWICK_DUTY_LEASE" default:"0"`
+	Config    string        `help:"Settings file (TOML) provided by the platform." required:"" type:"path" placeholder:"PATH"`
+	DutyLease time.Duration `help:"Lease of the single duties (renting, returning, reclaiming, clean-up); 0 turns them off. At least 4s. The effective lease is up to three times as long if controllers have only a small share of a core." env:"HERONWICK_DUTY_LEASE" default:"0"`
 }
 
-// Run implements kong's interface of a command.
+// Run implements kong's interface for commands.
 func (r *runCommand) Run(level logLevel) error {
 	settings, err := r.settings()
 	if err != nil {
 		return usageError{err}
 	}
-	var shutdown <-chan struct{} // nil is never ready: without duties SIGTERM ends the process at once
+	var shutdown <-chan struct{} // nil, so never ready, without duties: SIGTERM then ends the process at once
 	if settings.DutyLease > 0 {
 		terminated, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 		defer stop()
@@ -49,13 +49,14 @@
 	return nil
 }
 
-// settings loads the settings file and checks the operator's flags against it.
+// settings loads the settings file and validates the operator's flags against it.
 func (r *runCommand) settings() (*config.Settings, error) {
 	settings, err := config.Load(r.Config)
 	if err != nil {
 		return nil, err
 	}
-	// Like all timeouts between controllers, it is longer where they are slow.
+	// Like all timeouts between controllers, the lease is longer if they have only a
+	// small share of a core.
 	lease := time.Duration(float64(r.DutyLease) * settings.TimeoutFactor())
 	if err := duty.CheckLease(lease, len(settings.Peers)+1, settings.StateRequestRate); err != nil {
 		return nil, fmt.Errorf("--duty-lease: %w", err)
@@ -64,11 +65,11 @@
 	return settings, nil
 }
 
-// connectionTrimInterval is how often connections to workers are closed that are too many
-// to keep.
+// connectionTrimInterval is the time between two checks whether idle connections to
+// workers must be closed because sockets run short.
 const connectionTrimInterval = 500 * time.Millisecond
 
-// serve runs a controller until ctx ends, shutdown is closed or a part of it
+// serve runs a controller until ctx ends, shutdown is closed or one of its components
 // fails. It returns nil, errShutdown or the first error, respectively.
 func serve(ctx context.Context, shutdown <-chan struct{}, settings *config.Settings, log *slog.Logger) error {
 	limitResources(settings)
@@ -93,22 +94,23 @@
 	return g.Wait()
 }
 
-// gcPercent lets the heap grow to three times what is live before a collection:
-// memory up to the limit costs nothing, processor time does.
+// gcPercent lets the heap grow to three times the live heap before a collection, because
+// memory below the limit is free and processor time is not.
 const gcPercent = 200
 
-// limitResources keeps the process within the processor time and the memory that
-// the platform gives it.
+// limitResources configures the Go runtime for the processor time and memory that the
+// platform gives the process.
 func limitResources(settings *config.Settings) {
 	runtime.GOMAXPROCS(settings.Cores)
-	// The collector works harder near the limit instead of the platform
-	// killing the process there; a quarter is left for what Go does not count.
+	// Near this limit the garbage collector runs more often, so that the platform does
+	// not kill the process for exceeding its memory. A quarter is reserved for memory
+	// that the Go runtime does not count.
 	debug.SetMemoryLimit(settings.MemoryBytes * 3 / 4)
 	debug.SetGCPercent(gcPercent)
 }
 
-// connect makes a controller that talks to the services that the settings name.
-// Connections are opened when they are first used.
+// connect creates a controller with clients for the services that the settings name, and
+// returns it and its client for workers. Connections are opened when they are first used.
 func connect(settings *config.Settings, log *slog.Logger) (*controller, *fleet.Client, error) {
 	var c *controller
 	workers := fleet.NewClient(settings.MaxConnections, func() int { return c.server.OpenConnections() })
@@ -129,13 +131,13 @@
 	return c, workers, nil
 }
 
-// listeners are a controller's open ports.
+// listeners are the listening sockets of a controller.
 type listeners struct {
 	clients net.Listener // for users and workers
 	peers   net.Listener // for the other controllers
 }
 
-// listen opens a controller's ports.
+// listen opens the listening sockets of a controller.
 func listen(settings *config.Settings) (listeners, error) {
 	clients, err := net.Listen("tcp", settings.Listen)
 	if err != nil {
