--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -7,94 +7,96 @@
 	"heronwick/wire"
 )
 
-// Key names one attempt of a task.
+// Key identifies one attempt of a task.
 type Key struct {
 	Task    string
 	Attempt uint64
 }
 
-// Attempt is one attempt of a task that may be on a machine.
+// Attempt is an attempt to run a task that may be on a machine.
 type Attempt struct {
 	Key
 	Job       string
-	Index     int // of the task in the job
+	Index     int // index of the task in the job
 	Team      string
-	Rank      int  // of the job's priority, 0 being the highest
+	Rank      int  // rank of the job's priority; 0 is the highest
 	Service   bool // the job is a service
 	Image     string
 	ImageGB   float64
 	Size      placement.Resources
-	SizeKnown bool // Size and Team are known
+	SizeKnown bool // Size and Team are set
 
-	State         wire.TaskState  // "" until a heartbeat shows it
-	ExitReason    wire.ExitReason // once it has exited
-	Recorded      bool            // its record is in the store: the start may be sent
-	Journal       string          // key of the journal that alone holds that record; "": none does
-	InBucket      bool            // its machine's bucket holds it
-	ExitProcessed bool            // it exited, and what follows from that is in the store
-	Stop          bool            // it is to be stopped
-	GraceS        float64         // seconds for saving when it is stopped
-	ExitDeadline  time.Time       // cancelled: it must be gone by then; zero otherwise
-	PlacedAt      time.Time       // when it was placed, or found
-	RunningSince  time.Time       // when it was first seen running
+	State         wire.TaskState  // empty until a heartbeat shows the attempt
+	ExitReason    wire.ExitReason // set once the attempt has exited
+	Recorded      bool            // the record is in the store, or the attempt was found on the machine; needed to send the start
+	Journal       string          // key of the journal if only a journal contains the record; otherwise empty
+	InBucket      bool            // the machine's bucket contains the record
+	ExitProcessed bool            // the attempt exited and all consequences are in the store: the worker may forget it
+	Stop          bool            // the attempt should be stopped
+	GraceS        float64         // seconds that the task gets to save its progress when it is stopped
+	ExitDeadline  time.Time       // when an attempt of a cancelled job must have exited; zero for any other attempt
+	PlacedAt      time.Time       // when the attempt was placed, restored from a record or found
+	RunningSince  time.Time       // when a heartbeat first showed it running; zero before that
 
-	// Unconfirmed reports that it was read from a record at a takeover and has not
-	// been seen since. Its start is not sent again; the first heartbeat under the
-	// new token shows whether it is there.
+	// Unconfirmed reports whether the attempt was read from a record at a takeover. Its
+	// start is not sent again: the first heartbeat under the new fencing token shows
+	// whether the attempt is on the machine.
 	Unconfirmed bool
 
-	// CountedInUsage reports that the scheduler's sums include it, under Zone.
+	// CountedInUsage reports whether the scheduler counts the attempt in the usage of
+	// its team and among the attempts of its job, there under Zone.
 	CountedInUsage bool
 	Zone           string
-	// Hosted reports that its job belongs to another scheduler, which had it placed
-	// here under the epoch of token Epoch.
+	// Hosted reports whether the job belongs to another scheduler, which requested the
+	// placement in the epoch with the fencing token Epoch.
 	Hosted bool
 	Epoch  uint64
 
-	incarnation     uint64 // of the worker that it was sent to
-	lastShownIn     uint64 // number of the last applied heartbeat that showed it
-	repliedSeq      uint64 // Seq of the heartbeat whose reply last held its start
-	startInReply    bool   // a reply has held its start
-	directStarts    int    // direct requests with its start that are in flight
-	unansweredToken uint64 // highest token of a direct start without answer
-	maxStartToken   uint64 // highest token of any direct start
+	incarnation          uint64 // incarnation of the worker that the attempt was placed on
+	lastSeenHeartbeat    uint64 // Machine.heartbeatsApplied at the last heartbeat that showed the attempt
+	startReplySeq        uint64 // Seq of the last heartbeat whose reply contained the start
+	startSentInReply     bool   // a heartbeat reply has contained the start
+	directStartsInFlight int    // number of direct requests in flight that contain the start
+	maxUnansweredToken   uint64 // highest token of the direct requests with the start that got no response
+	maxDirectStartToken  uint64 // highest token of all direct requests with the start
 }
 
 // Exited reports whether a heartbeat has shown that the attempt exited.
 func (a *Attempt) Exited() bool { return a.State == wire.TaskExited }
 
-// SetJobDetails takes over what an attempt has of its job, and the rank of the job's
-// priority.
+// SetJobDetails copies the details of the job that the attempt needs, and sets the rank
+// of the job's priority.
 func (a *Attempt) SetJobDetails(j *wire.Job, rank int) {
 	a.Team, a.Rank, a.Service = j.Team, rank, j.Kind == wire.KindService
 	a.Image, a.ImageGB = j.Image, j.ImageGB
 	a.Size, a.SizeKnown = placement.TaskResources(j), true
 	if j.CheckpointS > 0 {
-		a.GraceS = saveGrace(j)
+		a.GraceS = saveGraceSeconds(j)
 	}
 }
 
-// saveGrace leaves a task a little more than its owner says it needs to save.
-func saveGrace(j *wire.Job) float64 { return j.SaveS*1.25 + 0.5 }
+// saveGraceSeconds returns the grace period for a task to save its progress: the time
+// that the job's owner has specified, plus a margin.
+func saveGraceSeconds(j *wire.Job) float64 { return j.SaveS*1.25 + 0.5 }
 
-// EventKind says what has become known of an attempt.
+// EventKind is the kind of an Event.
 type EventKind int
 
-// The kinds of event.
+// The kinds of events.
 const (
-	Started EventKind = iota // it is running
-	Exited                   // it has exited, see ExitReason
-	Lost                     // it is gone without a result
-	Found                    // it is on the machine, though no record says so
+	Started EventKind = iota // the attempt is running
+	Exited                   // the attempt has exited, see Attempt.ExitReason
+	Lost                     // the attempt is gone without a result
+	Found                    // the attempt is on the machine, but in no record
 )
 
-// Event is a change of an attempt.
+// Event is a change in the state of an attempt.
 type Event struct {
 	Kind    EventKind
 	Attempt *Attempt
 }
 
-// NeverSent reports whether no message has ever held the attempt's start.
+// NeverSent reports whether the start of the attempt has never been sent to a worker.
 func (a *Attempt) NeverSent() bool {
-	return a.State == "" && !a.Unconfirmed && !a.startInReply && a.directStarts == 0 && a.maxStartToken == 0
+	return a.State == "" && !a.Unconfirmed && !a.startSentInReply && a.directStartsInFlight == 0 && a.maxDirectStartToken == 0
 }
--- a/internal/fleet/attempts.go
+++ b/internal/fleet/attempts.go
@@ -2,21 +2,21 @@
 
 import "slices"
 
-// Attempts holds the attempts that may be on one machine, in the order in which
-// they were added. A machine has a handful, which each heartbeat and each
-// scheduling pass iterates, so they are a slice rather than a map.
+// Attempts is the set of attempts that may be on one machine, in the order in which
+// they were added. It is a slice rather than a map because a machine has only a few
+// attempts, and each heartbeat and scheduling pass iterates over them.
 type Attempts struct {
 	all []*Attempt
 }
 
-// All returns every attempt. The slice does not change when attempts are put or
-// deleted afterwards, so a loop over it may do either.
+// All returns all attempts. Later calls of Put and Delete do not change the returned
+// slice, so a loop over it may call them.
 func (as *Attempts) All() []*Attempt { return as.all }
 
-// Len counts the attempts.
+// Len returns the number of attempts.
 func (as *Attempts) Len() int { return len(as.all) }
 
-// Get returns the attempt with the key, nil if there is none.
+// Get returns the attempt with the key, or nil if there is none.
 func (as *Attempts) Get(key Key) *Attempt {
 	if i := as.index(key); i >= 0 {
 		return as.all[i]
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// Put adds an attempt or replaces the one with the same key.
+// Put adds an attempt, replacing one with the same key.
 func (as *Attempts) Put(a *Attempt) {
 	if i := as.index(a.Key); i >= 0 {
 		as.all = slices.Clone(as.all)
@@ -34,7 +34,7 @@
 	as.all = append(as.all, a)
 }
 
-// Delete removes the attempt with the key, if there is one.
+// Delete removes the attempt with the key, if it exists.
 func (as *Attempts) Delete(key Key) {
 	if i := as.index(key); i >= 0 {
 		as.all = slices.Concat(as.all[:i], as.all[i+1:])
@@ -58,7 +58,7 @@
 	return removed
 }
 
-// index returns the index of the attempt with the key, -1 if there is none.
+// index returns the index of the attempt with the key, or -1 if there is none.
 func (as *Attempts) index(key Key) int {
 	for i, a := range as.all {
 		if a.Attempt == key.Attempt && a.Task == key.Task {
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -17,47 +17,47 @@
 	"heronwick/wire"
 )
 
-// ErrNoSocket means that nothing was sent, since no socket was free. It says
-// nothing about the worker.
+// ErrNoSocket means that the request was not sent because no socket was free. It does
+// not indicate a fault of the worker.
 var ErrNoSocket = errors.New("no socket is free")
 
-// Client sends requests directly to workers. A connection to each worker beside
-// the worker's own to the controller takes more sockets than a controller may have
-// that alone serves the fleet, so connections are kept only while there are enough
-// sockets. It is safe for concurrent use.
+// Client sends requests directly to workers. Each worker also has a connection of its
+// own to the controller. A controller that serves the whole fleet alone does not have
+// enough sockets for two connections for each worker, so Client keeps connections open
+// only while there are enough sockets. It is safe for concurrent use.
 type Client struct {
-	http    *fasthttp.Client
-	sockets int          // limit of this process
-	others  func() int   // sockets in use for other purposes
-	open    atomic.Int64 // connections to workers
+	http            *fasthttp.Client
+	sockets         int          // maximum number of sockets of this process
+	otherSockets    func() int   // returns the number of sockets in use for other purposes
+	openConnections atomic.Int64 // number of open connections to workers
 }
 
 const (
 	dialTimeout    = time.Second
-	requestTimeout = 2 * time.Second // of a request whose context has no deadline
-	// maxConnectionsPerWorker bounds the connections to one worker.
+	requestTimeout = 2 * time.Second // timeout of a request whose context has no deadline
+	// maxConnectionsPerWorker is the maximum number of connections to one worker.
 	maxConnectionsPerWorker = 2
-	// idleConnectionTimeout is how long an unused connection is kept.
+	// idleConnectionTimeout is how long an idle connection is kept open.
 	idleConnectionTimeout = 30 * time.Second
-	// bufferSize is that of a connection's read and write buffers, in bytes.
+	// bufferSize is the size of the read and write buffers of a connection, in bytes.
 	bufferSize = 2 << 10
-	// keepThreshold is the part of the sockets in use below which connections to
-	// workers are kept for the next command.
-	keepThreshold = 0.7
-	// dialThreshold is the part of the sockets in use below which connections to
-	// workers are opened: the rest stays free for the store, the cloud and the
-	// peers.
+	// reuseThreshold is the fraction of sockets in use below which connections to
+	// workers are kept open for the next request.
+	reuseThreshold = 0.7
+	// dialThreshold is the fraction of sockets in use below which connections to
+	// workers are opened. The rest stays free for connections to the store, the cloud
+	// and the peers.
 	dialThreshold = 0.95
 )
 
-// NewClient makes a client for workers. sockets is how many sockets the process may
-// have, others returns how many it uses for other purposes.
-func NewClient(sockets int, others func() int) *Client {
-	c := &Client{sockets: sockets, others: others}
+// NewClient returns a client for workers. sockets is the maximum number of sockets of
+// the process. otherSockets returns how many of them are in use for other purposes.
+func NewClient(sockets int, otherSockets func() int) *Client {
+	c := &Client{sockets: sockets, otherSockets: otherSockets}
 	c.http = &fasthttp.Client{
 		MaxConnsPerHost:           maxConnectionsPerWorker,
 		MaxIdleConnDuration:       idleConnectionTimeout,
-		MaxIdemponentCallAttempts: 1, // a silent retry could carry a command out twice
+		MaxIdemponentCallAttempts: 1, // a transparent retry could execute a command twice
 		NoDefaultUserAgentHeader:  true,
 		ReadBufferSize:            bufferSize,
 		WriteBufferSize:           bufferSize,
@@ -66,53 +66,53 @@
 	return c
 }
 
-// socketsBelow reports whether less than a part of the sockets are in use.
-func (c *Client) socketsBelow(part float64) bool {
-	return float64(c.open.Load())+float64(c.others()) < part*float64(c.sockets)
+// socketsBelow reports whether less than a fraction of the sockets is in use.
+func (c *Client) socketsBelow(fraction float64) bool {
+	return float64(c.openConnections.Load())+float64(c.otherSockets()) < fraction*float64(c.sockets)
 }
 
-// TrimConnections closes idle connections once sockets run short: a takeover opens one to each
-// worker, and then the workers open theirs.
+// TrimConnections closes idle connections if sockets are scarce. A takeover opens a
+// connection to each worker, and after that the workers open theirs.
 func (c *Client) TrimConnections() {
-	if !c.socketsBelow(keepThreshold) {
+	if !c.socketsBelow(reuseThreshold) {
 		c.http.CloseIdleConnections()
 	}
 }
 
-// dial opens a connection that is counted until it is closed.
+// dial opens a connection. It counts in openConnections until it is closed.
 func (c *Client) dial(addr string, timeout time.Duration) (net.Conn, error) {
 	if !c.socketsBelow(dialThreshold) {
 		c.http.CloseIdleConnections()
 		return nil, ErrNoSocket
 	}
-	c.open.Add(1)
+	c.openConnections.Add(1)
 	if timeout <= 0 || timeout > dialTimeout {
 		timeout = dialTimeout
 	}
 	conn, err := net.DialTimeout("tcp4", addr, timeout)
 	if err != nil {
-		c.open.Add(-1)
+		c.openConnections.Add(-1)
 		return nil, err
 	}
-	return &countedConn{Conn: conn, open: &c.open}, nil
+	return &countedConn{Conn: conn, openConnections: &c.openConnections}, nil
 }
 
-// countedConn is a connection that leaves the count when it is closed.
+// countedConn is a connection that decrements the counter when it is closed.
 type countedConn struct {
 	net.Conn
-	open *atomic.Int64
-	once sync.Once
+	openConnections *atomic.Int64
+	once            sync.Once
 }
 
 // Close implements net.Conn.
 func (c *countedConn) Close() error {
-	c.once.Do(func() { c.open.Add(-1) })
+	c.once.Do(func() { c.openConnections.Add(-1) })
 	return c.Conn.Close()
 }
 
-// Command sends commands to the worker at address and returns its heartbeat after
-// them. The heartbeat of a worker that rejected them (HTTP 409) shows its higher
-// token or other incarnation.
+// Command sends commands to the worker at address and returns the heartbeat in its
+// response. If the worker rejects the commands (HTTP 409), the heartbeat shows the
+// higher token or the different incarnation that it has.
 func (c *Client) Command(ctx context.Context, address string, req *wire.CommandRequest) (*wire.Heartbeat, error) {
 	body, err := json.Marshal(req)
 	if err != nil {
@@ -121,7 +121,7 @@
 	return c.do(ctx, http.MethodPost, "http://"+address+wire.PathCommands, body)
 }
 
-// Status asks the worker at address for its heartbeat.
+// Status requests the heartbeat of the worker at address.
 func (c *Client) Status(ctx context.Context, address string) (*wire.Heartbeat, error) {
 	return c.do(ctx, http.MethodGet, "http://"+address+wire.PathStatus, nil)
 }
@@ -134,7 +134,7 @@
 		deadline = time.Now().Add(requestTimeout)
 	}
 	req := httpcall.Request{Method: method, URL: url, Body: body, Deadline: deadline,
-		CloseConnection: !c.socketsBelow(keepThreshold)}
+		CloseConnection: !c.socketsBelow(reuseThreshold)}
 	if err := httpcall.Do(c.http, req, resp); err != nil {
 		return nil, fmt.Errorf("%s %s: %w", method, url, err)
 	}
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -7,41 +7,44 @@
 	"heronwick/wire"
 )
 
-// ReplyCommands returns the commands for the reply to the newest heartbeat.
+// ReplyCommands returns the commands for the reply to the newest heartbeat, and records
+// the starts among them as sent.
 func (m *Machine) ReplyCommands() []wire.Command {
 	commands := m.commands()
-	m.eachStart(commands, func(a *Attempt) { a.startInReply, a.repliedSeq = true, m.Seq })
+	m.forEachStart(commands, func(a *Attempt) { a.startSentInReply, a.startReplySeq = true, m.Seq })
 	return commands
 }
 
-// DirectRequest returns what to send straight to the worker under a fencing token,
-// nil if there is nothing. DirectRequestDone must follow.
+// DirectRequest returns the request to send to the worker directly, outside of a
+// heartbeat reply, under a fencing token. It returns nil if there are no commands. The
+// caller must call DirectRequestDone when the request has completed or failed.
 func (m *Machine) DirectRequest(token uint64) *wire.CommandRequest {
 	commands := m.commands()
 	if len(commands) == 0 {
 		return nil
 	}
-	m.eachStart(commands, func(a *Attempt) {
-		a.directStarts++
-		a.maxStartToken = max(a.maxStartToken, token)
+	m.forEachStart(commands, func(a *Attempt) {
+		a.directStartsInFlight++
+		a.maxDirectStartToken = max(a.maxDirectStartToken, token)
 	})
 	return &wire.CommandRequest{FencingToken: token, Incarnation: m.Incarnation, Commands: commands}
 }
 
-// DirectRequestDone ends what DirectRequest began. Without an answer the commands
-// may still be carried out, while the token and the incarnation are the worker's.
+// DirectRequestDone records the end of a request from DirectRequest. answered reports
+// whether the worker responded. If it did not, it may still execute the commands later,
+// as long as it has the token and the incarnation of the request.
 func (m *Machine) DirectRequestDone(req *wire.CommandRequest, answered bool) {
-	m.eachStart(req.Commands, func(a *Attempt) {
-		a.directStarts--
+	m.forEachStart(req.Commands, func(a *Attempt) {
+		a.directStartsInFlight--
 		if !answered {
-			a.unansweredToken = max(a.unansweredToken, req.FencingToken)
+			a.maxUnansweredToken = max(a.maxUnansweredToken, req.FencingToken)
 		}
 	})
 }
 
-// eachStart calls f for the attempts that the commands start and that are still
-// known.
-func (m *Machine) eachStart(commands []wire.Command, f func(a *Attempt)) {
+// forEachStart calls f for each attempt that the commands start, except for attempts
+// that were removed meanwhile.
+func (m *Machine) forEachStart(commands []wire.Command, f func(a *Attempt)) {
 	for _, c := range commands {
 		if c.Op != wire.OpStart {
 			continue
@@ -52,20 +55,20 @@
 	}
 }
 
-// commands returns the commands that the worker should get now, at most
-// wire.MaxCommands: first those that make room.
+// commands returns the commands to send to the worker now, at most wire.MaxCommands.
+// Commands that free capacity come first.
 func (m *Machine) commands() []wire.Command {
 	var stops, forgets, starts []wire.Command
 	for _, a := range m.Attempts.All() {
 		switch {
-		case m.forgettable(a):
+		case m.canForget(a):
 			forgets = append(forgets, a.command(wire.OpForget))
-		case m.mustStop(a):
+		case m.needsStop(a):
 			stop := a.command(wire.OpStop)
 			grace := a.GraceS
 			stop.GraceS = &grace
 			stops = append(stops, stop)
-		case m.mustStart(a):
+		case m.needsStart(a):
 			starts = append(starts, a.command(wire.OpStart))
 		}
 	}
@@ -78,43 +81,45 @@
 	return wire.Command{Op: op, Task: a.Task, Attempt: a.Attempt}
 }
 
-// forgettable reports whether the worker may be told to forget an attempt that has
-// exited. A start of it that still arrives later would run it once more; if it is
-// done, the worker would only repeat its result.
-func (m *Machine) forgettable(a *Attempt) bool {
+// canForget reports whether the worker may forget an attempt that has exited. After
+// that, a delayed copy of the attempt's start would run it again, unless the worker has
+// seen a higher token than that of any direct start. If the attempt is done, a copy is
+// harmless: the worker would only report the result again.
+func (m *Machine) canForget(a *Attempt) bool {
 	if !a.Exited() || !a.ExitProcessed || m.directStartMayArrive(a) {
 		return false
 	}
-	return a.ExitReason == wire.ExitDone || a.maxStartToken < m.FencingToken
+	return a.ExitReason == wire.ExitDone || a.maxDirectStartToken < m.FencingToken
 }
 
-// mustStop reports whether the worker has the attempt and must be told to stop it.
-// One that is saving, within its grace period, has been told.
-func (m *Machine) mustStop(a *Attempt) bool {
+// needsStop reports whether the worker has the attempt and must be sent a stop. An
+// attempt that is saving its progress in its grace period has already received one.
+func (m *Machine) needsStop(a *Attempt) bool {
 	saving := a.State == wire.TaskSaving && a.GraceS > 0
 	return a.Stop && a.State != "" && !a.Exited() && !saving
 }
 
-// mustStart reports whether the start of the attempt must be sent, or sent again.
-func (m *Machine) mustStart(a *Attempt) bool {
+// needsStart reports whether the start of the attempt must be sent or resent.
+func (m *Machine) needsStart(a *Attempt) bool {
 	return a.State == "" && a.Recorded && !a.Stop && !a.Unconfirmed && a.incarnation == m.Incarnation
 }
 
-// maxLeftovers is how many exited attempts may stay in a worker's heartbeats until
-// it has seen a higher token.
-const maxLeftovers = 30
+// maxExitedAttempts is the number of exited attempts above which the worker needs a
+// higher fencing token: those that it cannot forget before stay in its heartbeats.
+const maxExitedAttempts = 30
 
-// NeedsHigherFencingToken reports whether something can only be settled once the
-// worker has seen a higher token than this one.
+// NeedsHigherFencingToken reports whether the worker must see a higher token than this
+// one: either an unanswered start under this token or a later one could still be
+// executed, or the worker has too many exited attempts that it cannot forget before.
 func (m *Machine) NeedsHigherFencingToken(token uint64) bool {
-	leftovers := 0
+	unforgotten := 0
 	for _, a := range m.Attempts.All() {
-		if a.unansweredToken >= token && (a.Stop && a.State == "" || a.Exited()) {
+		if a.maxUnansweredToken >= token && (a.Stop && a.State == "" || a.Exited()) {
 			return true
 		}
-		if a.Exited() && a.ExitProcessed && a.ExitReason != wire.ExitDone && a.maxStartToken >= token {
-			leftovers++
+		if a.Exited() && a.ExitProcessed && a.ExitReason != wire.ExitDone && a.maxDirectStartToken >= token {
+			unforgotten++
 		}
 	}
-	return leftovers > maxLeftovers
+	return unforgotten > maxExitedAttempts
 }
--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -1,6 +1,7 @@
 // Package fleet tracks the machines of the fleet: the incarnations and heartbeats
-// of their workers, the commands that these are sent, the task attempts that may
-// be on each machine, and the records of machines in the key-value store.
+// of their workers, the commands to send to them, the task attempts that may be on
+// each machine, and the machine records in the key-value store.
 //
-// A Machine has no lock: the lock of the scheduler that owns it guards it.
+// A Machine has no lock of its own: the lock of the scheduler that owns the machine
+// guards it.
 package fleet
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -6,14 +6,14 @@
 	"heronwick/wire"
 )
 
-// ApplyHeartbeat applies a heartbeat, or the answer to a direct command, and
-// returns what it shows to have changed. It returns false for one that is outdated.
-func (m *Machine) ApplyHeartbeat(h *wire.Heartbeat, now time.Time) (events []Event, fresh bool) {
+// ApplyHeartbeat applies a heartbeat, or the response to a direct request, and returns
+// the changes that it shows. It ignores an outdated heartbeat and returns false for it.
+func (m *Machine) ApplyHeartbeat(h *wire.Heartbeat, now time.Time) (events []Event, applied bool) {
 	if m.outdated(h) {
 		return nil, false
 	}
 	if h.Incarnation > m.Incarnation {
-		// The worker's lease expired: it ended its tasks.
+		// The lease of the previous incarnation expired, and the worker stopped its tasks.
 		events = m.removeLost(func(a *Attempt) bool { return a.incarnation < h.Incarnation })
 		m.IncarnationSeenAt = now
 	}
@@ -23,14 +23,15 @@
 			events = append(events, event)
 		}
 	}
-	lost := m.removeLost(func(a *Attempt) bool { return a.lastShownIn != m.heartbeats && m.surelyAbsent(a) })
+	lost := m.removeLost(func(a *Attempt) bool { return a.lastSeenHeartbeat != m.heartbeatsApplied && m.provenGone(a) })
 	return append(events, lost...), true
 }
 
-// outdated reports whether a heartbeat is older than what is known already, or of
-// an incarnation whose lease has surely expired: it was delayed. A worker never
-// shows a lower token than before: such a heartbeat is older, perhaps from an
-// earlier incarnation of the machine that had counted further (ran_twice).
+// outdated reports whether a heartbeat was delayed: a newer one has been applied, or the
+// lease of its incarnation is certain to have expired. The token that a worker shows
+// never decreases, so a heartbeat with a lower token is older too. Such a heartbeat may
+// come from an earlier incarnation of the machine that had reached a higher sequence
+// number; applying it made tasks run twice (rule ran_twice).
 func (m *Machine) outdated(h *wire.Heartbeat) bool {
 	return h.FencingToken < m.FencingToken ||
 		h.Incarnation <= m.expiredIncarnation ||
@@ -38,7 +39,7 @@
 		h.Incarnation == m.Incarnation && h.Seq <= m.Seq
 }
 
-// applyHeader applies what a heartbeat says of the machine itself.
+// applyHeader applies the part of a heartbeat that describes the machine itself.
 func (m *Machine) applyHeader(h *wire.Heartbeat, now time.Time) {
 	m.Incarnation, m.Seq = h.Incarnation, h.Seq
 	m.FencingToken = max(m.FencingToken, h.FencingToken)
@@ -48,17 +49,16 @@
 	if h.NoticeS != nil {
 		m.ReclaimAt = now.Add(time.Duration(*h.NoticeS * float64(time.Second)))
 	}
-	m.heartbeats++
+	m.heartbeatsApplied++
 }
 
-// applyTaskStatus applies what a heartbeat says of one attempt; ok is false if
-// nothing has changed.
+// applyTaskStatus applies the status of one attempt. ok is false if there is no event.
 func (m *Machine) applyTaskStatus(status wire.TaskStatus, now time.Time) (event Event, ok bool) {
 	a := m.Attempts.Get(Key{status.Task, status.Attempt})
 	if a == nil {
 		return m.addFound(status, now)
 	}
-	a.lastShownIn = m.heartbeats
+	a.lastSeenHeartbeat = m.heartbeatsApplied
 	if a.Exited() {
 		return Event{}, false
 	}
@@ -68,21 +68,21 @@
 		return Event{Exited, a}, true
 	case status.State == wire.TaskRunning && a.RunningSince.IsZero():
 		a.RunningSince = now
-		m.noteImage(a, now)
+		m.recordImage(a, now)
 		return Event{Started, a}, true
 	}
 	return Event{}, false
 }
 
-// addFound adds an attempt that is on the machine though no record says so; ok is
-// false if its task has no valid id.
+// addFound adds an attempt that is on the machine but in no record. ok is false if the
+// ID of its task is not valid.
 func (m *Machine) addFound(status wire.TaskStatus, now time.Time) (event Event, ok bool) {
 	job, index, ok := wire.SplitTaskID(status.Task)
 	if !ok {
 		return Event{}, false
 	}
 	a := &Attempt{Key: Key{status.Task, status.Attempt}, Job: job, Index: index, Recorded: true, PlacedAt: now,
-		State: status.State, ExitReason: status.Reason, incarnation: m.Incarnation, lastShownIn: m.heartbeats}
+		State: status.State, ExitReason: status.Reason, incarnation: m.Incarnation, lastSeenHeartbeat: m.heartbeatsApplied}
 	if status.State == wire.TaskRunning {
 		a.RunningSince = now
 	}
@@ -90,25 +90,25 @@
 	return Event{Found, a}, true
 }
 
-// surelyAbsent reports whether an attempt that the newest heartbeat does not show
-// is not on the machine and cannot arrive there any more.
-func (m *Machine) surelyAbsent(a *Attempt) bool {
+// provenGone reports whether an attempt that the newest heartbeat does not show is not
+// on the machine and can no longer start there.
+func (m *Machine) provenGone(a *Attempt) bool {
 	if a.State != "" {
-		return true // the worker had it and has forgotten it
+		return true // the worker had the attempt and has forgotten it
 	}
 	if !a.Stop && !a.Unconfirmed {
-		return false // its start will be sent again
+		return false // the start will be sent again
 	}
 	if m.directStartMayArrive(a) {
 		return false
 	}
-	// The worker carries out a start in a reply before its next heartbeat or never.
-	return !a.startInReply || m.Seq > a.repliedSeq
+	// The worker executes a start from a reply before its next heartbeat or never.
+	return !a.startSentInReply || m.Seq > a.startReplySeq
 }
 
-// directStartMayArrive reports whether the worker may still carry out a direct
-// start of the attempt: one is in flight, or one had no answer and its token is
-// the highest that the worker has seen.
+// directStartMayArrive reports whether the worker may still execute a direct start of
+// the attempt: a request is in flight, or a request got no response and the worker has
+// not seen a higher token since.
 func (m *Machine) directStartMayArrive(a *Attempt) bool {
-	return a.directStarts > 0 || a.unansweredToken > 0 && a.unansweredToken >= m.FencingToken
+	return a.directStartsInFlight > 0 || a.maxUnansweredToken > 0 && a.maxUnansweredToken >= m.FencingToken
 }
--- a/internal/fleet/images.go
+++ b/internal/fleet/images.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// CachedImage is an image on a machine.
+// CachedImage is an image in the cache of a machine.
 type CachedImage struct {
 	GB   float64
-	Used time.Time // when an attempt last started with it
+	Used time.Time // when an attempt that uses the image last started
 }
 
 // HasImage reports whether the machine is known to have the image.
@@ -14,9 +14,9 @@
 	return ok
 }
 
-// noteImage records that the machine has fetched an attempt's image, and forgets
-// the least recently used images beyond what its cache holds.
-func (m *Machine) noteImage(a *Attempt, now time.Time) {
+// recordImage records that the machine has fetched the image of an attempt, and removes
+// the least recently used images that no longer fit the machine's cache.
+func (m *Machine) recordImage(a *Attempt, now time.Time) {
 	if a.Image == "" {
 		return
 	}
@@ -25,7 +25,7 @@
 		return
 	}
 	for len(m.CachedImages) > 1 && m.cachedGB() > m.Type.CacheGB {
-		delete(m.CachedImages, m.oldestImage())
+		delete(m.CachedImages, m.leastRecentlyUsedImage())
 	}
 }
 
@@ -37,13 +37,14 @@
 	return sum
 }
 
-// oldestImage returns the least recently used image, "" if there is none.
-func (m *Machine) oldestImage() string {
-	oldest := ""
+// leastRecentlyUsedImage returns the name of the least recently used image, or "" if
+// there are no images.
+func (m *Machine) leastRecentlyUsedImage() string {
+	least := ""
 	for name, image := range m.CachedImages {
-		if oldest == "" || image.Used.Before(m.CachedImages[oldest].Used) {
-			oldest = name
+		if least == "" || image.Used.Before(m.CachedImages[least].Used) {
+			least = name
 		}
 	}
-	return oldest
+	return least
 }
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -7,8 +7,8 @@
 	"heronwick/wire"
 )
 
-// Machine is a machine of the fleet and the attempts that may be on it. It has no
-// lock: that of the scheduler that owns the machine guards it.
+// Machine is a machine of the fleet and the attempts that may be on it. It has no lock
+// of its own: the lock of the scheduler that owns the machine guards it.
 type Machine struct {
 	Name     string
 	Address  string
@@ -17,56 +17,57 @@
 	Zone     string
 	Spot     bool
 
-	Incarnation       uint64    // of its worker, as are Seq and FencingToken
-	Seq               uint64    // of the newest heartbeat
-	FencingToken      uint64    // highest token that the worker is known to have seen
-	HeartbeatSeen     bool      // a heartbeat came, in this epoch
-	LastHeartbeat     time.Time // when the newest heartbeat or answer came
-	LastReply         time.Time // when a heartbeat was last answered by this controller
-	IncarnationSeenAt time.Time // when the incarnation was first seen: its lease began no later
-	ReclaimAt         time.Time // when the cloud takes it away; zero: not known
+	Incarnation       uint64    // newest known incarnation of the worker
+	Seq               uint64    // sequence number of the newest heartbeat
+	FencingToken      uint64    // highest fencing token that the worker is known to have seen
+	HeartbeatSeen     bool      // a heartbeat was received in this epoch
+	LastHeartbeat     time.Time // when the newest heartbeat or response to a direct request was received
+	LastReply         time.Time // when this controller last replied to a heartbeat
+	IncarnationSeenAt time.Time // when the incarnation was first seen; its lease started no later than that
+	ReclaimAt         time.Time // when the cloud will reclaim the machine; zero if no reclaim was announced
 
 	Attempts     Attempts
-	CachedImages map[string]CachedImage // by name, those that are known to be on the machine
+	CachedImages map[string]CachedImage // images known to be on the machine, by name
 
-	expiredIncarnation uint64 // newest incarnation whose lease has surely expired
-	heartbeats         uint64 // number of heartbeats applied
+	expiredIncarnation uint64 // newest incarnation whose lease is certain to have expired
+	heartbeatsApplied  uint64 // number of heartbeats applied
 }
 
-// NewMachine makes a machine without any known attempt.
+// NewMachine returns a machine without attempts.
 func NewMachine(name string) *Machine {
 	return &Machine{Name: name, CachedImages: map[string]CachedImage{}}
 }
 
-// Pool returns the machine's type, zone and kind.
+// Pool returns the pool that the machine belongs to: its type, zone and spot flag.
 func (m *Machine) Pool() placement.Pool {
 	return placement.Pool{Type: m.TypeName, Zone: m.Zone, Spot: m.Spot}
 }
 
-// FreeResources returns the machine's capacity less what its attempts take. sized reports
-// whether the sizes of all of them are known; otherwise no other attempt may be
-// placed on the machine. Without a known Type there is no room.
-func (m *Machine) FreeResources() (free placement.Resources, sized bool) {
+// FreeResources returns the machine's capacity minus the sizes of its attempts that have
+// not exited. known reports whether all those sizes are known; otherwise no other
+// attempt may be placed on the machine. If Type is not known, it returns no resources
+// and false.
+func (m *Machine) FreeResources() (free placement.Resources, known bool) {
 	if m.Type == nil {
 		return placement.Resources{}, false
 	}
-	free, sized = placement.Capacity(m.Type), true
+	free, known = placement.Capacity(m.Type), true
 	for _, a := range m.Attempts.All() {
 		if !a.Exited() {
 			free = free.Minus(a.Size)
-			sized = sized && a.SizeKnown
+			known = known && a.SizeKnown
 		}
 	}
-	return free, sized
+	return free, known
 }
 
-// Free returns the machine's free resources, see FreeResources.
+// Free is FreeResources without the report whether all sizes are known.
 func (m *Machine) Free() placement.Resources {
 	free, _ := m.FreeResources()
 	return free
 }
 
-// ActiveCount counts the attempts that have not exited.
+// ActiveCount returns the number of attempts that have not exited.
 func (m *Machine) ActiveCount() int {
 	n := 0
 	for _, a := range m.Attempts.All() {
@@ -77,14 +78,14 @@
 	return n
 }
 
-// Add books a new attempt. Its start is not sent before it is Durable.
+// Add adds a new attempt. Its start is not sent until it is Recorded.
 func (m *Machine) Add(a *Attempt, now time.Time) {
 	a.incarnation, a.PlacedAt = m.Incarnation, now
 	m.Attempts.Put(a)
 }
 
-// removeLost removes the attempts that match and returns an event for each one that
-// was not known to have exited.
+// removeLost removes the attempts that match and returns a Lost event for each of them
+// that was not known to have exited.
 func (m *Machine) removeLost(match func(*Attempt) bool) []Event {
 	var events []Event
 	for _, a := range m.Attempts.removeIf(match) {
@@ -95,17 +96,17 @@
 	return events
 }
 
-// Idle reports whether no attempt is on the machine or can still arrive.
+// Idle reports whether no attempt is on the machine or can still start on it.
 func (m *Machine) Idle() bool { return m.Attempts.Len() == 0 }
 
-// MarkReleased removes all attempts, since the machine was returned to the cloud.
+// MarkReleased removes all attempts because the machine was returned to the cloud.
 func (m *Machine) MarkReleased() []Event {
 	return m.removeLost(func(*Attempt) bool { return true })
 }
 
-// MarkLeaseExpired removes all attempts, since the lease of the current incarnation
-// has surely expired. A heartbeat of that incarnation that arrives later was
-// delayed, and what it shows is outdated.
+// MarkLeaseExpired removes all attempts because the lease of the current incarnation
+// is certain to have expired. Heartbeats of this incarnation that arrive later were
+// delayed and are ignored as outdated.
 func (m *Machine) MarkLeaseExpired() []Event {
 	m.expiredIncarnation = max(m.expiredIncarnation, m.Incarnation)
 	return m.MarkReleased()
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -13,48 +13,49 @@
 	"heronwick/wire"
 )
 
-// RecordPrefix is the prefix of the keys of machines' records. One key holds those
-// of many machines.
+// RecordPrefix is the prefix of the keys of machine records. One key contains the
+// records of many machines.
 const RecordPrefix = "machines/"
 
-// RecordBucket is the value of one key: the records of some dozens of machines, by
-// name. The store limits how many changes are made rather than their size, so a
-// burst over a hundred machines is a handful of changes.
+// RecordBucket is the value of one key. It contains the records of some dozens of
+// machines, by machine name. The store limits the number of changes rather than their
+// size, so this way a burst of placements on a hundred machines takes only a few
+// changes.
 type RecordBucket struct {
 	Machines map[string]Record `json:"machines"`
-	// Write differs between any two writes, so that a read-back shows which one it
-	// was.
+	// Write is a unique ID of the write, so that reading the key shows which write
+	// produced its value.
 	Write string `json:"write"`
 }
 
-// BucketKey returns the key of a member's n-th bucket. since is the epoch token of
-// its membership.
+// BucketKey returns the key of a member's n-th bucket. since is the token of the epoch
+// in which its membership began.
 func BucketKey(node string, since, n uint64) string {
 	return state.MemberKey(RecordPrefix, node, since, strconv.FormatUint(n, 10))
 }
 
-// journalMark is the first letter of a journal's name.
-const journalMark = "j"
+// journalNamePrefix distinguishes the name of a journal from that of a bucket.
+const journalNamePrefix = "j"
 
-// JournalKey returns the key of a member's n-th journal: a bucket that holds
-// attempts on any of its machines that the machines' own buckets do not hold yet.
+// JournalKey returns the key of a member's n-th journal. A journal contains attempts on
+// any of the member's machines that are not yet in the buckets of those machines.
 func JournalKey(node string, since uint64, n int) string {
-	return state.MemberKey(RecordPrefix, node, since, journalMark+strconv.Itoa(n))
+	return state.MemberKey(RecordPrefix, node, since, journalNamePrefix+strconv.Itoa(n))
 }
 
-// IsJournal reports whether a key is that of a journal.
+// IsJournal reports whether a key is the key of a journal.
 func IsJournal(key string) bool {
-	return strings.HasPrefix(key[strings.LastIndexByte(key, '/')+1:], journalMark)
+	return strings.HasPrefix(key[strings.LastIndexByte(key, '/')+1:], journalNamePrefix)
 }
 
-// BucketOwner returns the membership whose bucket a key is. ok is false for a key of
-// the earlier form, which holds one machine and has no owner.
+// BucketOwner returns the membership that a bucket belongs to. ok is false for a key in
+// the earlier format, which contains one machine and has no owner.
 func BucketOwner(key string) (owner state.KeyOwner, ok bool) {
 	return state.OwnerOfKey(RecordPrefix, key)
 }
 
-// ReadBucket decodes the value of a key, also in the earlier form: the record of
-// the one machine that the key names.
+// ReadBucket decodes the value of a key. It also decodes the earlier format, in which
+// the value is the record of the single machine that the key names.
 func ReadBucket(key string, value json.RawMessage) (RecordBucket, error) {
 	var bucket RecordBucket
 	if err := json.Unmarshal(value, &bucket); err != nil {
@@ -70,28 +71,28 @@
 	return bucket, nil
 }
 
-// Record is a machine's record in the store: the attempts that may be on it. It is
-// written before the start of any of them can be sent.
+// Record is the record of a machine in the store, with the attempts that may be on the
+// machine. An attempt is written to the record before its start is sent.
 type Record struct {
 	Address      string            `json:"address,omitempty"`
 	Type         string            `json:"type,omitempty"`
 	Zone         string            `json:"zone,omitempty"`
 	Spot         bool              `json:"spot,omitempty"`
 	Incarnation  uint64            `json:"session"`
-	Seq          uint64            `json:"seq,omitempty"`      // of the newest heartbeat, in transfers only
-	FencingToken uint64            `json:"token,omitempty"`    // that the worker has seen, in transfers only
-	Attempts     map[string]uint64 `json:"attempts,omitempty"` // by task
-	Images       []ImageRecord     `json:"images,omitempty"`   // the most recently used first
+	Seq          uint64            `json:"seq,omitempty"`      // of the newest heartbeat; only in transfers
+	FencingToken uint64            `json:"token,omitempty"`    // highest token that the worker has seen; only in transfers
+	Attempts     map[string]uint64 `json:"attempts,omitempty"` // attempt numbers by task
+	Images       []ImageRecord     `json:"images,omitempty"`   // most recently used first
 }
 
-// ImageRecord is an image that a machine holds.
+// ImageRecord is an image in the cache of a machine.
 type ImageRecord struct {
 	Name string  `json:"name"`
 	GB   float64 `json:"gb"`
 }
 
-// Record returns the machine's record, without the attempts for which leaveOut
-// returns true.
+// Record returns the machine's record without the attempts for which leaveOut returns
+// true.
 func (m *Machine) Record(leaveOut func(*Attempt) bool) Record {
 	r := Record{Address: m.Address, Type: m.TypeName, Zone: m.Zone, Spot: m.Spot, Incarnation: m.Incarnation}
 	r.Attempts = m.attemptNumbers(func(a *Attempt) bool { return !leaveOut(a) })
@@ -104,8 +105,8 @@
 	return r
 }
 
-// attemptNumbers returns, by task, the numbers of the attempts that have not exited
-// and for which include returns true; nil if there are none.
+// attemptNumbers returns the numbers, by task, of the attempts that have not exited and
+// for which include returns true. It returns nil if there are none.
 func (m *Machine) attemptNumbers(include func(*Attempt) bool) map[string]uint64 {
 	var numbers map[string]uint64
 	for _, a := range m.Attempts.All() {
@@ -120,27 +121,29 @@
 	return numbers
 }
 
-// JournalRecord returns the part of the machine's record that belongs into one
-// journal: its attempts there. ok is false if there are none. hasBucket says that
-// the machine has a bucket, which holds its place.
-func (m *Machine) JournalRecord(journal string, hasBucket bool) (r Record, ok bool) {
+// JournalRecord returns the part of the machine's record that belongs in one journal:
+// the attempts that only this journal contains. ok is false if there are none. inBucket
+// tells whether a bucket already contains the machine's address, type and zone, so that
+// the journal need not.
+func (m *Machine) JournalRecord(journal string, inBucket bool) (r Record, ok bool) {
 	r.Incarnation = m.Incarnation
-	if !hasBucket {
+	if !inBucket {
 		r.Address, r.Type, r.Zone, r.Spot = m.Address, m.TypeName, m.Zone, m.Spot
 	}
 	r.Attempts = m.attemptNumbers(func(a *Attempt) bool { return a.Journal == journal })
 	return r, r.Attempts != nil
 }
 
-// TransferRecord returns the record of an idle machine for its next owner.
+// TransferRecord returns the record of an idle machine to pass to its next owner.
 func (m *Machine) TransferRecord() Record {
 	r := m.Record(func(*Attempt) bool { return true })
 	r.Seq, r.FencingToken = m.Seq, m.FencingToken
 	return r
 }
 
-// FromRecord rebuilds a machine from its record. Every recorded attempt may be on
-// it until a heartbeat under token, the new epoch's, shows otherwise.
+// FromRecord restores a machine from its record. token is the fencing token of the new
+// epoch. Each recorded attempt may be on the machine until a heartbeat under this token
+// shows that it is not.
 func FromRecord(name string, r Record, token uint64, now time.Time) *Machine {
 	m := NewMachine(name)
 	m.Seq, m.FencingToken = r.Seq, r.FencingToken
@@ -148,8 +151,9 @@
 	return m
 }
 
-// MergeRecord adds what another record says may be on the machine: while a machine is
-// transferred, its owner before may still have an older record of it.
+// MergeRecord adds the attempts of another record of the machine. A machine has several
+// records, for example, while it is transferred, because its previous owner may still
+// have an older one.
 func (m *Machine) MergeRecord(r Record, token uint64, now time.Time) {
 	m.Incarnation = max(m.Incarnation, r.Incarnation)
 	if m.Address == "" {
@@ -163,11 +167,11 @@
 	for task, attempt := range r.Attempts {
 		job, index, ok := wire.SplitTaskID(task)
 		if !ok {
-			continue // no record that this software writes holds such a name
+			continue // heronwick writes no record with such a task ID
 		}
 		key := Key{task, attempt}
-		// An older leader may have sent it directly, under any older token.
+		// An earlier leader may have sent the start directly, under any earlier token.
 		m.Attempts.Put(&Attempt{Key: key, Job: job, Index: index, Recorded: true, incarnation: r.Incarnation,
-			PlacedAt: now, Unconfirmed: true, unansweredToken: token - 1})
+			PlacedAt: now, Unconfirmed: true, maxUnansweredToken: token - 1})
 	}
 }
