--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -38,10 +38,10 @@
 	PlacedAt      time.Time       // when the attempt was placed, restored from a record or found
 	RunningSince  time.Time       // when a heartbeat first showed it running; zero before that
 
-	// Unconfirmed reports whether the attempt was read from a record at a takeover. Its
+	// RestoredFromRecord reports whether the attempt was read from a record at a takeover. Its
 	// start is not sent again: the first heartbeat under the new fencing token shows
 	// whether the attempt is on the machine.
-	Unconfirmed bool
+	RestoredFromRecord bool
 
 	// CountedInUsage reports whether the scheduler counts the attempt in the usage of
 	// its team and among the attempts of its job, there under Zone.
@@ -98,5 +98,5 @@
 
 // NeverSent reports whether the start of the attempt has never been sent to a worker.
 func (a *Attempt) NeverSent() bool {
-	return a.State == "" && !a.Unconfirmed && !a.startSentInReply && a.directStartsInFlight == 0 && a.maxDirectStartToken == 0
+	return a.State == "" && !a.RestoredFromRecord && !a.startSentInReply && a.directStartsInFlight == 0 && a.maxDirectStartToken == 0
 }
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -101,7 +101,7 @@
 
 // needsStart reports whether the start of the attempt must be sent or resent.
 func (m *Machine) needsStart(a *Attempt) bool {
-	return a.State == "" && a.Recorded && !a.Stop && !a.Unconfirmed && a.incarnation == m.Incarnation
+	return a.State == "" && a.Recorded && !a.Stop && !a.RestoredFromRecord && a.incarnation == m.Incarnation
 }
 
 // maxExitedAttempts is the number of exited attempts above which the worker needs a
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -96,7 +96,7 @@
 	if a.State != "" {
 		return true // the worker had the attempt and has forgotten it
 	}
-	if !a.Stop && !a.Unconfirmed {
+	if !a.Stop && !a.RestoredFromRecord {
 		return false // the start will be sent again
 	}
 	if m.directStartMayArrive(a) {
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -201,7 +201,7 @@
 			s.handleAttemptExitLocked(m, a)
 		case fleet.Lost:
 			log := s.log.Info
-			if a.Unconfirmed {
+			if a.RestoredFromRecord {
 				log = s.log.Debug // most restored attempts had ended before the takeover
 			}
 			log("task lost", "task", a.Task, "attempt", a.Attempt, "machine", m.Name)
