--- a/internal/autoscale/doc.go
+++ b/internal/autoscale/doc.go
@@ -1,13 +1,13 @@
-// Package autoscale decides which machines to rent and which idle ones to
-// return, and sends the requests.
+// Package autoscale decides which machines to rent and which idle machines to
+// return, and sends the requests to the cloud.
 //
-// A Planner packs the demand that finds no room onto the machines that are
-// booting and onto new ones, and keeps a reserve. An Inventory knows the
-// machines that are booting or released and what the cloud has lately refused.
-// A Renter and a Returner record requests, send them and repeat those without
-// an answer.
+// A Planner packs the tasks that fit on no machine in use onto booting machines
+// and onto machines to rent, and keeps a reserve of free CPUs. An Inventory keeps
+// track of the booting and the released machines, and of the rent requests that the
+// cloud has recently refused. A Renter and a Returner record intents, send the
+// requests and retry those that were not answered.
 //
-// A Planner and its Inventory do no I/O and are not safe for concurrent use: the lock
-// of the scheduler that owns them guards them. A Renter and a Returner do their I/O
-// without that lock; their callbacks take it.
+// A Planner and its Inventory do no I/O and are not safe for concurrent use: they are
+// protected by the lock of the scheduler that owns them. A Renter and a Returner do
+// their I/O without that lock; their callbacks acquire it.
 package autoscale
--- a/internal/autoscale/idle.go
+++ b/internal/autoscale/idle.go
@@ -6,36 +6,39 @@
 )
 
 const (
-	// keepWarm is how long an idle machine is kept for what may come.
-	keepWarm = 5 * time.Minute
-	// keepUnused is how long it is kept while there are no jobs at all.
-	keepUnused = 30 * time.Second
-	// idlePart is which part of the machines may stay idle in reserve.
-	idlePart = 5
+	// maxIdleTime is how long a machine beyond the reserve may be idle before it is
+	// returned, since new tasks may need it.
+	maxIdleTime = 5 * time.Minute
+	// maxIdleTimeWithoutJobs replaces maxIdleTime while there are no jobs.
+	maxIdleTimeWithoutJobs = 30 * time.Second
+	// idleReserveDivisor sets the size of the reserve: one machine in this many may
+	// stay idle.
+	idleReserveDivisor = 5
 )
 
-// IdleMachine is a machine on which nothing runs.
+// IdleMachine is a machine without tasks.
 type IdleMachine struct {
 	Name  string
-	Since time.Time // when it became idle
+	Since time.Time // the time at which the machine became idle
 }
 
-// IdleReserve returns how many machines of so many usable ones are kept idle
-// rather than returned.
-func IdleReserve(usable int) int { return max(1, usable/idlePart) }
+// IdleReserve returns how many idle machines are kept instead of returned, given the
+// number of usable machines.
+func IdleReserve(usable int) int { return max(1, usable/idleReserveDivisor) }
 
-// SurplusIdle returns the names of the idle machines to return now: the one
-// that has been idle for longest, if more are idle than the reserve; while
-// there are no jobs, all beyond the reserve. It reorders idle.
+// SurplusIdle returns the names of the idle machines to return now. It returns none
+// unless more machines are idle than the reserve. While there are jobs, it returns at
+// most the machine that has been idle for the longest time; without jobs, it may return
+// all machines beyond the reserve. It reorders idle.
 func SurplusIdle(idle []IdleMachine, reserve int, hasJobs func() bool, now time.Time) []string {
 	if len(idle) <= reserve {
 		return nil
 	}
 	slices.SortFunc(idle, func(a, b IdleMachine) int { return a.Since.Compare(b.Since) })
-	surplus, keep := idle[:1], keepWarm
+	surplus, keep := idle[:1], maxIdleTime
 	if !hasJobs() {
-		// Nobody wants anything, so only the reserve is worth its price.
-		surplus, keep = idle[:len(idle)-reserve], keepUnused
+		// No task needs a machine soon, so only the reserve is worth its price.
+		surplus, keep = idle[:len(idle)-reserve], maxIdleTimeWithoutJobs
 	}
 	var names []string
 	for _, m := range surplus {
--- a/internal/autoscale/inventory.go
+++ b/internal/autoscale/inventory.go
@@ -6,37 +6,37 @@
 	"heronwick/internal/placement"
 )
 
-// Inventory knows the machines that were rented and whose workers have sent no
-// heartbeat yet, those that were released, and what the cloud has lately
-// refused. It does no I/O and is not safe for concurrent use.
+// Inventory keeps track of the booting machines, of the machines that were released to
+// the cloud, and of the pools for which the cloud has recently refused rent requests. It
+// does no I/O and is not safe for concurrent use.
 type Inventory struct {
-	booting  map[string]*bootingMachine
+	booting  map[string]*bootingMachine // by name
 	refused  map[placement.Pool]refusal
-	released map[string]time.Time // when each machine was released
+	released map[string]time.Time // time of release by machine name
 }
 
-// bootingMachine is a machine that was rented and whose worker has sent no heartbeat yet.
+// bootingMachine is a machine that was rented but whose worker has sent no heartbeat yet.
 type bootingMachine struct {
-	place     placement.Pool
+	pool      placement.Pool
 	rentedAt  time.Time
-	firstSeen time.Time // when this inventory first knew of it
+	firstSeen time.Time // when it was added to this inventory
 }
 
-// refusal remembers that the cloud had no such machine.
+// refusal is the backoff of a pool in which the cloud could not provide machines.
 type refusal struct {
-	until   time.Time // no request goes out before then
+	until   time.Time // no rent request is sent before this time
 	backoff time.Duration
 }
 
 const (
-	// firstBackoff is how long no request for a place goes out after its first
-	// refusal; each further refusal doubles it.
-	firstBackoff = 5 * time.Second
-	// maxBackoff bounds that.
-	maxBackoff = 40 * time.Second
-	// releasedMemory is how long a released machine is remembered: copies of
-	// its heartbeats may come, and the cloud's list lags.
-	releasedMemory = 10 * time.Minute
+	// initialBackoff is how long no rent request for a pool is sent after the first
+	// refusal. Each further refusal doubles the backoff, up to maxBackoff.
+	initialBackoff = 5 * time.Second
+	maxBackoff     = 40 * time.Second
+	// releasedRetention is how long the inventory keeps the name of a released machine:
+	// delayed copies of its heartbeats may still arrive, and the cloud's list of machines
+	// lags.
+	releasedRetention = 10 * time.Minute
 )
 
 // NewInventory returns an empty Inventory.
@@ -48,18 +48,18 @@
 	}
 }
 
-// AddBooting adds a booting machine; one that is known already stays as it is.
-func (inv *Inventory) AddBooting(name string, place placement.Pool, rentedAt, now time.Time) {
+// AddBooting adds a booting machine. It has no effect if the machine was already added.
+func (inv *Inventory) AddBooting(name string, pool placement.Pool, rentedAt, now time.Time) {
 	if inv.booting[name] == nil {
-		inv.booting[name] = &bootingMachine{place: place, rentedAt: rentedAt, firstSeen: now}
+		inv.booting[name] = &bootingMachine{pool: pool, rentedAt: rentedAt, firstSeen: now}
 	}
 }
 
-// MarkJoined removes a machine from the booting ones: its worker sends heartbeats,
-// here or to another controller.
+// MarkJoined removes a machine from the booting machines, because its worker sends
+// heartbeats to this or to another controller.
 func (inv *Inventory) MarkJoined(name string) { delete(inv.booting, name) }
 
-// Booting returns the names of the booting machines, in no order.
+// Booting returns the names of the booting machines, in no particular order.
 func (inv *Inventory) Booting() []string {
 	names := make([]string, 0, len(inv.booting))
 	for name := range inv.booting {
@@ -68,49 +68,52 @@
 	return names
 }
 
-// Overdue returns the booting machines that are older than the limit of their
-// place. They may be up already, and only their workers have not come to a new
-// leader yet, so each must also have been known here for longer than patience.
-func (inv *Inventory) Overdue(now time.Time, limit func(place placement.Pool) time.Duration, patience time.Duration) (names []string) {
+// Overdue returns the names of the machines that have been booting for longer than the
+// timeout of their pool. After a change of leader, a machine may already be up while its
+// worker has not sent a heartbeat to the new leader yet. So Overdue omits machines that
+// were added to this inventory less than gracePeriod ago.
+func (inv *Inventory) Overdue(now time.Time, timeout func(pool placement.Pool) time.Duration, gracePeriod time.Duration) (names []string) {
 	for name, m := range inv.booting {
-		if now.Sub(m.rentedAt) > limit(m.place) && now.Sub(m.firstSeen) > patience {
+		if now.Sub(m.rentedAt) > timeout(m.pool) && now.Sub(m.firstSeen) > gracePeriod {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// RecordRentResult notes whether the cloud filled a request for a place. Requests
-// that are not filled back off exponentially.
-func (inv *Inventory) RecordRentResult(place placement.Pool, filled bool, now time.Time) {
+// RecordRentResult records whether the cloud filled a rent request for a pool. Each
+// request that is not filled doubles the backoff of the pool; a filled request ends it.
+func (inv *Inventory) RecordRentResult(pool placement.Pool, filled bool, now time.Time) {
 	if filled {
-		delete(inv.refused, place)
+		delete(inv.refused, pool)
 		return
 	}
-	r := inv.refused[place]
-	r.backoff = min(max(2*r.backoff, firstBackoff), maxBackoff)
+	r := inv.refused[pool]
+	r.backoff = min(max(2*r.backoff, initialBackoff), maxBackoff)
 	r.until = now.Add(r.backoff)
-	inv.refused[place] = r
+	inv.refused[pool] = r
 }
 
-// InBackoff reports whether a place is backing off after a refusal.
-func (inv *Inventory) InBackoff(place placement.Pool, now time.Time) bool {
-	return now.Before(inv.refused[place].until)
+// InBackoff reports whether no rent request for the pool may be sent now, because the
+// cloud has refused an earlier one.
+func (inv *Inventory) InBackoff(pool placement.Pool, now time.Time) bool {
+	return now.Before(inv.refused[pool].until)
 }
 
-// MarkReleased notes that a machine was released to the cloud.
+// MarkReleased records that a machine was released to the cloud.
 func (inv *Inventory) MarkReleased(name string, now time.Time) {
 	inv.released[name] = now
 	delete(inv.booting, name)
 }
 
-// IsReleased reports whether a machine is known to be released.
+// IsReleased reports whether a machine was released to the cloud. It returns false again
+// once PruneReleased has removed the machine.
 func (inv *Inventory) IsReleased(name string) bool { return !inv.released[name].IsZero() }
 
-// PruneReleased forgets machines that were released long ago.
+// PruneReleased removes the machines that were released more than releasedRetention ago.
 func (inv *Inventory) PruneReleased(now time.Time) {
 	for name, at := range inv.released {
-		if now.Sub(at) > releasedMemory {
+		if now.Sub(at) > releasedRetention {
 			delete(inv.released, name)
 		}
 	}
--- a/internal/autoscale/renter.go
+++ b/internal/autoscale/renter.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// rentTries is how often one request is sent in one round.
-	rentTries = 3
-	// rentRetryAfter is how long after a try without an answer the next one goes out.
-	rentRetryAfter = 300 * time.Millisecond
+	// maxRentTries bounds how often one request is sent in one round.
+	maxRentTries = 3
+	// rentRetryDelay is how long the Renter waits before it repeats an unanswered request.
+	rentRetryDelay = 300 * time.Millisecond
 )
 
-// Actions records requests before they are sent, and sends them; *duty.Actions
-// does.
+// Actions records rent requests as intents before they are sent, and sends them. It is
+// implemented by *duty.Actions.
 type Actions interface {
 	Guard(id duty.ID) (duty.Guard, error)
 	OpenRentals() []duty.OpenRental
@@ -30,25 +30,28 @@
 	CloseRental(ctx context.Context, g duty.Guard, open duty.OpenRental)
 }
 
-// Renter rents machines for the whole fleet, in rounds. Its functions are
-// called one after the other, without any lock held.
+// Renter rents machines for the whole fleet, in rounds. It calls its functions
+// sequentially and without holding a lock.
 type Renter struct {
 	Actions Actions
-	// Plan returns what to rent, each request under a name that is never used again.
+	// Plan returns the requests for machines to rent. Each has a unique RequestID that is
+	// never reused.
 	Plan func() []wire.RentRequest
 	// Fence returns the condition under which requests are recorded.
 	Fence func() state.FencingCondition
-	// OnResult is called with the names of the rented machines, or the error, of each request.
+	// OnResult is called once for each request with the names of the rented machines, or
+	// with the error.
 	OnResult func(req wire.RentRequest, machines []string, err error)
 	Log      *slog.Logger
 }
 
-// rentDuty is the duty of renting machines for the fleet.
+// rentDuty returns the duty of renting machines for the fleet.
 func rentDuty() duty.ID { return duty.ID{Name: duty.Rent, Scope: duty.Fleet} }
 
-// RunRound rents what is planned. Requests that former holders of the duty, or
-// earlier rounds, have recorded and not seen answered come first, and nothing
-// is planned before they are answered: their machines may be there.
+// RunRound rents the machines that Plan returns. Before that, it sends the open requests:
+// those that earlier rounds, or previous holders of the duty, have recorded but that were
+// not answered. It does not call Plan while requests are open, because the cloud may
+// already have rented their machines.
 func (r *Renter) RunRound(ctx context.Context) {
 	open := r.Actions.OpenRentals()
 	var requests []wire.RentRequest
@@ -72,18 +75,18 @@
 	}
 }
 
-// recordAndSend records new requests and sends them.
+// recordAndSend records new requests as an intent and sends them.
 func (r *Renter) recordAndSend(ctx context.Context, guard duty.Guard, requests []wire.RentRequest) {
 	recorded, err := r.Actions.RecordRentals(ctx, guard, r.Fence(), requests)
 	if err != nil {
-		r.Log.Info("nothing is rented for now", "err", err)
+		r.Log.Info("failed to record rent requests; no machines are rented", "err", err)
 		return
 	}
 	r.sendRecorded(ctx, guard, recorded)
 }
 
-// sendRecorded sends recorded requests, one after the other, and closes their
-// intent once all are answered. It returns false while one is not.
+// sendRecorded sends recorded requests sequentially and closes their intent if all are
+// answered. It reports whether all are answered.
 func (r *Renter) sendRecorded(ctx context.Context, guard duty.Guard, open duty.OpenRental) bool {
 	answered := true
 	for _, req := range open.Requests {
@@ -98,15 +101,16 @@
 	return answered
 }
 
-// send sends one request, a few times if it must, and passes on what it
-// brings. It returns false if there was no answer.
+// send sends one request, up to maxRentTries times until it is answered, and passes the
+// result to OnResult. It reports whether the request was answered.
 func (r *Renter) send(ctx context.Context, guard duty.Guard, req wire.RentRequest) bool {
 	var machines []string
 	var err error
-	for range rentTries {
-		// Repeating an unanswered request rents nothing twice.
+	for range maxRentTries {
+		// A rental is idempotent by its RequestID, so a repeated request rents no
+		// additional machines.
 		machines, err = r.Actions.Rent(ctx, guard, req)
-		if err == nil || errors.Is(err, cloud.ErrNoCapacity) || !wait.Sleep(ctx, rentRetryAfter) {
+		if err == nil || errors.Is(err, cloud.ErrNoCapacity) || !wait.Sleep(ctx, rentRetryDelay) {
 			break
 		}
 	}
--- a/internal/autoscale/returner.go
+++ b/internal/autoscale/returner.go
@@ -11,11 +11,11 @@
 	"heronwick/internal/wait"
 )
 
-// ReturnReason is why a machine is returned to the cloud. It is logged and
-// stored in the return intent.
+// ReturnReason says why a machine is returned to the cloud. It is logged and stored in
+// the return intent.
 type ReturnReason string
 
-// The reasons to return a machine.
+// The reasons to return a machine. ReasonNone means that it is not returned.
 const (
 	ReasonNone              ReturnReason = ""
 	ReasonIdle              ReturnReason = "idle"
@@ -31,46 +31,46 @@
 )
 
 const (
-	// overdueRecordTime is how long recording the return of a machine may take
-	// when a cancelled task must be gone from it.
-	overdueRecordTime = time.Second
-	// returnRetryAfter and a random part of returnRetryJitter are how long after
-	// a return that failed it is tried again.
-	returnRetryAfter  = 300 * time.Millisecond
+	// overdueRecordTimeout bounds how long the return of a machine with an overdue
+	// cancelled task waits for its intent to be recorded.
+	overdueRecordTimeout = time.Second
+	// A failed return is retried after returnRetryDelay plus a random part of
+	// returnRetryJitter.
+	returnRetryDelay  = 300 * time.Millisecond
 	returnRetryJitter = 400 * time.Millisecond
 )
 
-// ReturnActions records returns before they are sent, and sends them;
-// *duty.Actions does.
+// ReturnActions records return intents before the return requests are sent, and sends the
+// requests. It is implemented by *duty.Actions.
 type ReturnActions interface {
 	RecordReturn(ctx context.Context, id duty.ID, fence state.FencingCondition, machines []string, why string) (duty.ReturnIntent, error)
 	SendReturn(ctx context.Context, intent duty.ReturnIntent) error
 	SendUnrecordedReturn(ctx context.Context, id duty.ID, machines []string) error
 }
 
-// Return is a set of machines to return together, under a duty and on the
-// condition fence.
+// Return is a set of machines to return together.
 type Return struct {
-	Duty     duty.ID
-	Fence    state.FencingCondition
+	Duty     duty.ID                // under which the machines are returned
+	Fence    state.FencingCondition // under which the intent is recorded
 	Machines []string
 	Reason   ReturnReason
 }
 
-// Returner returns machines to the cloud. Its functions are called without any
-// lock held.
+// Returner returns machines to the cloud. It calls its functions without holding a lock.
 type Returner struct {
 	Actions ReturnActions
-	// OnReleased takes the machines that the cloud has taken back: they and all
-	// that was on them are gone.
+	// OnReleased is called with machines that the cloud has taken back. The machines and
+	// everything that ran on them are gone.
 	OnReleased func(machines []string)
-	// OnRecordFailure takes the machines whose return could not be recorded.
+	// OnRecordFailure is called with machines that are kept because the intent to return
+	// them could not be recorded.
 	OnRecordFailure func(machines []string)
 	Log             *slog.Logger
 }
 
-// Execute records that machines are to be returned, and returns them: it tries
-// until that has succeeded or ctx ends.
+// Execute records the intent to return the machines, and then returns them, with retries
+// until the cloud confirms it or ctx ends. If the intent cannot be recorded, it calls
+// OnRecordFailure instead, unless the reason is ReasonOverdueTask.
 func (r *Returner) Execute(ctx context.Context, ret Return) {
 	send, err := r.record(ctx, ret)
 	if err != nil {
@@ -83,22 +83,23 @@
 		if err == nil {
 			break
 		}
-		r.Log.Info("returning machines failed, trying again", "machines", ret.Machines, "err", err)
-		if !wait.Sleep(ctx, returnRetryAfter+rand.N(returnRetryJitter)) {
+		r.Log.Info("failed to return machines; will retry", "machines", ret.Machines, "err", err)
+		if !wait.Sleep(ctx, returnRetryDelay+rand.N(returnRetryJitter)) {
 			return
 		}
 	}
 	r.OnReleased(ret.Machines)
 }
 
-// record records the return intent and returns what then carries it out. A
-// cancelled task must be gone by a time, also while the store cannot be
-// reached: its machine is then returned without an intent.
+// record records the return intent and returns the function that sends the return
+// request. A cancelled task must be gone by its deadline even if the store is
+// unavailable, so the machine of an overdue task is returned without an intent if none
+// can be recorded.
 func (r *Returner) record(ctx context.Context, ret Return) (send func(context.Context) error, err error) {
 	recording, overdue := ctx, ret.Reason == ReasonOverdueTask
 	if overdue {
 		var cancel context.CancelFunc
-		recording, cancel = context.WithTimeout(ctx, overdueRecordTime)
+		recording, cancel = context.WithTimeout(ctx, overdueRecordTimeout)
 		defer cancel()
 	}
 	intent, err := r.Actions.RecordReturn(recording, ret.Duty, ret.Fence, ret.Machines, string(ret.Reason))
