--- a/internal/duty/acquire.go
+++ b/internal/duty/acquire.go
@@ -20,7 +20,7 @@
 	if !m.Fresh || m.Since == 0 {
 		return
 	}
-	txn := mgr.acquisition(ids, s, m)
+	txn := mgr.acquisitionTxn(ids, s, m)
 	if len(txn.Then) == 0 {
 		return
 	}
@@ -30,17 +30,17 @@
 	}
 }
 
-// acquisition returns the transaction that acquires those of the duties that are free, as
+// acquisitionTxn returns the transaction that acquires those of the duties that are free, as
 // many as fit one.
-func (mgr *Manager) acquisition(ids []ID, s session, m Membership) wire.Txn {
+func (mgr *Manager) acquisitionTxn(ids []ID, s session, m Membership) wire.Txn {
 	txn := wire.Txn{If: []wire.Condition{m.Epoch, {Key: sessionKey(mgr.opts.Node), Version: s.version}}}
 	record := encode(holderRecord{Node: mgr.opts.Node, Since: m.Since, Session: s.version})
 	for _, id := range ids {
 		h := mgr.opts.RecordCache.holderOf(id)
-		if mgr.isOwn(h, s, m) {
+		if mgr.isOwnRecord(h, s, m) {
 			continue
 		}
-		evidence, free := mgr.isFree(h, m)
+		conditions, free := mgr.isFree(h, m)
 		if !free {
 			continue
 		}
@@ -48,7 +48,7 @@
 			mgr.TriggerReconcile() // the rest follows at once in another transaction
 			break
 		}
-		txn.If = append(append(txn.If, wire.Condition{Key: holderKey(id), Version: h.token}), evidence...)
+		txn.If = append(append(txn.If, wire.Condition{Key: holderKey(id), Version: h.token}), conditions...)
 		txn.Then = append(txn.Then, wire.Change{Put: holderKey(id), Value: record})
 	}
 	return txn
@@ -56,13 +56,13 @@
 
 // isFree reports whether a duty may be acquired: it was resigned, its holder is no longer a
 // member, or its holder's lease has expired. evidence must still hold when it is acquired.
-func (mgr *Manager) isFree(h holder, m Membership) (evidence []wire.Condition, free bool) {
+func (mgr *Manager) isFree(h holder, m Membership) (conditions []wire.Condition, free bool) {
 	switch {
 	case h.corrupt:
 		return nil, false // logged when the ledger read it
 	case h.Node == "":
 		return nil, true
-	case h.Node == mgr.opts.Node, !m.current(h.Node, h.Since):
+	case h.Node == mgr.opts.Node, !m.isCurrent(h.Node, h.Since):
 		return nil, true // the own session and the epoch are conditions of every acquisition
 	}
 	seen := mgr.opts.RecordCache.sessionOf(h.Node)
@@ -100,8 +100,8 @@
 	}
 }
 
-// handoverPause is how long a controller that has handed a duty over leaves it to others.
-const handoverPause = 2 * time.Second
+// handoverCooldown is how long a controller that has handed a duty over leaves it to others.
+const handoverCooldown = 2 * time.Second
 
 // HandOver resigns a duty, so that another controller acquires it or this one does under
 // a new token. It returns ErrNotHeld or another error of Guard.Check if this controller
@@ -114,7 +114,7 @@
 		return err
 	}
 	mgr.mu.Lock()
-	mgr.paused[id] = time.Now().Add(handoverPause)
+	mgr.cooldownUntil[id] = time.Now().Add(handoverCooldown)
 	delete(mgr.wanted, id)
 	mgr.mu.Unlock()
 	mgr.resignUnwanted(ctx)
--- a/internal/duty/actions.go
+++ b/internal/duty/actions.go
@@ -56,16 +56,16 @@
 type Actions struct {
 	opts ActionsOptions
 
-	mu       sync.Mutex
-	intents  uint64               // how many keys of intents were made
-	returned map[string]time.Time // machines returned under intents that are open, and when
-	refusals map[ID]time.Time     // when a refusal was last logged
-	closing  bool                 // CloseReturns runs
+	mu              sync.Mutex
+	intentSeq       uint64               // how many keys of intents were made
+	returned        map[string]time.Time // machines returned under intents that are open, and when
+	refusalLoggedAt map[ID]time.Time     // when a refusal was last logged
+	closing         bool                 // CloseReturns runs
 }
 
 // NewActions returns Actions.
 func NewActions(opts ActionsOptions) *Actions {
-	return &Actions{opts: opts, returned: map[string]time.Time{}, refusals: map[ID]time.Time{}}
+	return &Actions{opts: opts, returned: map[string]time.Time{}, refusalLoggedAt: map[ID]time.Time{}}
 }
 
 // NewUnfencedActions returns Actions with duties off: every action is permitted, and no intent is
@@ -106,9 +106,9 @@
 func (a *Actions) recordRefusal(id ID, token uint64, err error) {
 	now := time.Now()
 	a.mu.Lock()
-	repeated := now.Sub(a.refusals[id]) < refusalInterval
+	repeated := now.Sub(a.refusalLoggedAt[id]) < refusalInterval
 	if !repeated {
-		a.refusals[id] = now
+		a.refusalLoggedAt[id] = now
 	}
 	a.mu.Unlock()
 	if repeated {
@@ -131,8 +131,8 @@
 // newIntentKey returns a key below prefix that is never used again.
 func (a *Actions) newIntentKey(prefix string) string {
 	a.mu.Lock()
-	a.intents++
-	number := a.intents
+	a.intentSeq++
+	number := a.intentSeq
 	a.mu.Unlock()
 	return state.MemberKey(prefix, a.opts.Node, a.opts.Membership().Since, strconv.FormatUint(number, 10))
 }
--- a/internal/duty/cache.go
+++ b/internal/duty/cache.go
@@ -175,8 +175,8 @@
 	return c.sessions[node]
 }
 
-// hasSeen reports whether everything up to a revision has been seen.
-func (c *RecordCache) hasSeen(revision uint64) bool {
+// caughtUpTo reports whether everything up to a revision has been seen.
+func (c *RecordCache) caughtUpTo(revision uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.revision >= revision
--- a/internal/duty/guard.go
+++ b/internal/duty/guard.go
@@ -68,7 +68,7 @@
 		return fmt.Errorf("%w: %s", ErrCorrupt, id)
 	case h.token != token && token != 0 && h.Node != mgr.opts.Node:
 		return fmt.Errorf("%w: %s is held by %q", ErrReplaced, id, h.Node)
-	case h.token != token || !mgr.isOwn(h, s, membership) || mgr.opts.RecordCache.sessionOf(mgr.opts.Node) != s.version:
+	case h.token != token || !mgr.isOwnRecord(h, s, membership) || mgr.opts.RecordCache.sessionOf(mgr.opts.Node) != s.version:
 		return fmt.Errorf("%w: %s", ErrNotHeld, id)
 	case !s.valid(time.Now()):
 		return fmt.Errorf("%w: %s", ErrLeaseExpired, id)
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// isOwn reports whether a holder record names this controller's session and membership.
-func (mgr *Manager) isOwn(h holder, s session, m Membership) bool {
+// isOwnRecord reports whether a holder record names this controller's session and membership.
+func (mgr *Manager) isOwnRecord(h holder, s session, m Membership) bool {
 	return !h.corrupt && h.Node == mgr.opts.Node && h.Session == s.version && s.version != 0 && h.Since == m.Since
 }
--- a/internal/duty/history.go
+++ b/internal/duty/history.go
@@ -34,8 +34,8 @@
 }
 
 const (
-	maxEvents  = 2000              // events that a History keeps at most
-	keptEvents = maxEvents * 3 / 4 // events that are kept when that is exceeded
+	maxEvents       = 2000              // events that a History keeps at most
+	eventsAfterTrim = maxEvents * 3 / 4 // events that are kept when that is exceeded
 )
 
 // History keeps the most recent events of this controller and counts all of them by kind.
@@ -55,7 +55,7 @@
 	defer h.mu.Unlock()
 	h.counts[EventKind(event.Kind)]++
 	if h.events = append(h.events, event); len(h.events) > maxEvents {
-		h.events = slices.Delete(h.events, 0, len(h.events)-keptEvents)
+		h.events = slices.Delete(h.events, 0, len(h.events)-eventsAfterTrim)
 	}
 }
 
--- a/internal/duty/intents.go
+++ b/internal/duty/intents.go
@@ -34,13 +34,13 @@
 // AbandonedReturns returns, sorted, the machines of open intents to return that only the leader
 // completes: their node is no longer a member, as current tells of a membership, or they
 // were recorded by an earlier holder of a duty for the fleet.
-func (c *RecordCache) AbandonedReturns(current func(node string, since uint64) bool) []string {
+func (c *RecordCache) AbandonedReturns(isCurrent func(node string, since uint64) bool) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var machines []string
 	for machine, key := range c.machines {
 		owner, ok := state.OwnerOfKey(returnPrefix, key)
-		if !ok || !current(owner.Node, owner.Since) || c.supersededLocked(c.entries[key].returnIntent) {
+		if !ok || !isCurrent(owner.Node, owner.Since) || c.supersededLocked(c.entries[key].returnIntent) {
 			machines = append(machines, machine)
 		}
 	}
@@ -79,7 +79,7 @@
 
 // openReturns returns the open intents to return, by key.
 func (c *RecordCache) openReturns() []openReturn {
-	return sortedEntries(c, func(a, b openReturn) int { return strings.Compare(a.key, b.key) },
+	return sortedIntents(c, func(a, b openReturn) int { return strings.Compare(a.key, b.key) },
 		func(key string, e entry) (openReturn, bool) {
 			if e.returnIntent == nil {
 				return openReturn{}, false
@@ -90,12 +90,12 @@
 
 // openRentals returns the open intents to rent, the oldest first.
 func (c *RecordCache) openRentals() []OpenRental {
-	return sortedEntries(c, func(a, b OpenRental) int { return cmp.Compare(a.version, b.version) }, newOpenRental)
+	return sortedIntents(c, func(a, b OpenRental) int { return cmp.Compare(a.version, b.version) }, newOpenRental)
 }
 
-// sortedEntries returns, in the order of compare, what convert makes of the ledger's
+// sortedIntents returns, in the order of compare, what convert makes of the ledger's
 // entries; it leaves out those for which convert returns false.
-func sortedEntries[T any](l *RecordCache, compare func(a, b T) int, convert func(key string, e entry) (T, bool)) []T {
+func sortedIntents[T any](l *RecordCache, compare func(a, b T) int, convert func(key string, e entry) (T, bool)) []T {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var open []T
--- a/internal/duty/lease.go
+++ b/internal/duty/lease.go
@@ -21,13 +21,13 @@
 // requests must not end it.
 const renewalsPerLease = 4
 
-// renewalShare is the fraction of the key-value store's requests that renewals may use.
-const renewalShare = 0.05
+// maxRenewalRateFraction is the fraction of the key-value store's requests that renewals may use.
+const maxRenewalRateFraction = 0.05
 
 // The margins by which a lease counts as expired before the store ends it.
 const (
 	clockDriftDivisor = 1000 // drift between two clocks: this part of the lease
-	leaseMargin       = 50 * time.Millisecond
+	leaseSafetyMargin = 50 * time.Millisecond
 )
 
 // CheckLease returns ErrLeaseOutOfRange if a lease for duties cannot be kept; 0 turns
@@ -35,7 +35,7 @@
 // key-value store's limit of rps requests a second.
 func CheckLease(lease time.Duration, controllers int, rps float64) error {
 	renewals := float64(controllers * renewalsPerLease)
-	shortest := max(MinLease, time.Duration(renewals/(renewalShare*rps)*float64(time.Second)))
+	shortest := max(MinLease, time.Duration(renewals/(maxRenewalRateFraction*rps)*float64(time.Second)))
 	switch {
 	case lease == 0:
 		return nil
@@ -51,5 +51,5 @@
 // cannot have expired at the store. It counts from before the request, since only the
 // store knows when it was carried out, and allows for the drift of two clocks.
 func leaseDeadline(sent time.Time, lease time.Duration) time.Time {
-	return sent.Add(lease - lease/clockDriftDivisor - leaseMargin)
+	return sent.Add(lease - lease/clockDriftDivisor - leaseSafetyMargin)
 }
--- a/internal/duty/manager.go
+++ b/internal/duty/manager.go
@@ -31,8 +31,8 @@
 	Fresh    bool              // everything written under older epochs has been seen
 }
 
-// current reports whether a node's membership is one of the epoch's.
-func (m Membership) current(node string, since uint64) bool {
+// isCurrent reports whether a node's membership is one of the epoch's.
+func (m Membership) isCurrent(node string, since uint64) bool {
 	return since != 0 && m.Members[node] == since
 }
 
@@ -57,16 +57,16 @@
 	opts    ManagerOptions
 	trigger chan struct{}
 
-	mu      sync.Mutex
-	session session
-	wanted  map[ID]time.Time // duties that this controller should hold, and since when
-	held    map[ID]uint64    // tokens of the duties last seen as held, for log and history
-	paused  map[ID]time.Time // duties handed over, not to be acquired before then
+	mu            sync.Mutex
+	session       session
+	wanted        map[ID]time.Time // duties that this controller should hold, and since when
+	held          map[ID]uint64    // tokens of the duties last seen as held, for log and history
+	cooldownUntil map[ID]time.Time // duties handed over, not to be acquired before then
 }
 
 // NewManager returns a Manager that does nothing until Run is called.
 func NewManager(opts ManagerOptions) *Manager {
-	return &Manager{opts: opts, trigger: make(chan struct{}, 1), wanted: map[ID]time.Time{}, held: map[ID]uint64{}, paused: map[ID]time.Time{}}
+	return &Manager{opts: opts, trigger: make(chan struct{}, 1), wanted: map[ID]time.Time{}, held: map[ID]uint64{}, cooldownUntil: map[ID]time.Time{}}
 }
 
 // Active reports whether actions are fenced: duties are on, and every controller can decode
@@ -109,18 +109,18 @@
 // holds the ones it should.
 func (mgr *Manager) reconcile(ctx context.Context, renew bool) {
 	membership := mgr.opts.Membership()
-	mgr.recordHeld(time.Now())
+	mgr.recordTransitions(time.Now())
 	mgr.updateWanted(membership, time.Now())
-	if !mgr.keepSession(ctx, membership, renew) {
+	if !mgr.ensureSession(ctx, membership, renew) {
 		return
 	}
 	mgr.resignUnwanted(ctx)
 	mgr.acquireWanted(ctx, membership)
-	mgr.recordHeld(time.Now())
+	mgr.recordTransitions(time.Now())
 }
 
-// assigned returns the duties that an epoch assigns to this controller.
-func (mgr *Manager) assigned(m Membership) []ID {
+// assignedDuties returns the duties that an epoch assigns to this controller.
+func (mgr *Manager) assignedDuties(m Membership) []ID {
 	if m.Since == 0 {
 		return nil
 	}
@@ -135,10 +135,10 @@
 func (mgr *Manager) updateWanted(m Membership, now time.Time) {
 	mgr.mu.Lock()
 	defer mgr.mu.Unlock()
-	ids := mgr.assigned(m)
+	ids := mgr.assignedDuties(m)
 	maps.DeleteFunc(mgr.wanted, func(id ID, _ time.Time) bool { return !slices.Contains(ids, id) })
 	for _, id := range ids {
-		if now.Before(mgr.paused[id]) {
+		if now.Before(mgr.cooldownUntil[id]) {
 			delete(mgr.wanted, id)
 		} else if mgr.wanted[id].IsZero() {
 			mgr.wanted[id] = now
@@ -146,9 +146,9 @@
 	}
 }
 
-// restartWaitLocked returns how long this controller has wanted a duty and counts anew
+// resetWaitLocked returns how long this controller has wanted a duty and counts anew
 // from now; 0 if it does not want it.
-func (mgr *Manager) restartWaitLocked(id ID, now time.Time) time.Duration {
+func (mgr *Manager) resetWaitLocked(id ID, now time.Time) time.Duration {
 	since, wanted := mgr.wanted[id]
 	if !wanted {
 		return 0
@@ -157,32 +157,32 @@
 	return now.Sub(since)
 }
 
-// recordHeld logs and records the duties that this controller has acquired or lost since
+// recordTransitions logs and records the duties that this controller has acquired or lost since
 // the last call.
-func (mgr *Manager) recordHeld(now time.Time) {
+func (mgr *Manager) recordTransitions(now time.Time) {
 	mgr.mu.Lock()
 	defer mgr.mu.Unlock()
 	ids := slices.AppendSeq(slices.Collect(maps.Keys(mgr.wanted)), maps.Keys(mgr.held))
 	slices.SortFunc(ids, compareIDs)
 	for _, id := range slices.Compact(ids) {
-		mgr.recordHeldLocked(id, now)
+		mgr.recordTransitionLocked(id, now)
 	}
 }
 
-// recordHeldLocked does what recordHeld does for one duty.
-func (mgr *Manager) recordHeldLocked(id ID, now time.Time) {
+// recordTransitionLocked does what recordHeld does for one duty.
+func (mgr *Manager) recordTransitionLocked(id ID, now time.Time) {
 	h := mgr.opts.RecordCache.holderOf(id)
 	previous := mgr.held[id]
 	holds := h.Node == mgr.opts.Node && h.Session == mgr.session.version && !h.corrupt
 	switch {
 	case holds && previous != h.token:
 		mgr.held[id] = h.token
-		waited := mgr.restartWaitLocked(id, now)
+		waited := mgr.resetWaitLocked(id, now)
 		mgr.opts.Log.Info("duty acquired", "duty", id, "token", h.token, "after", waited)
 		mgr.opts.History.add(wire.DutyEvent{At: now, Kind: string(EventAcquired), Duty: id.String(), Node: mgr.opts.Node, Token: h.token, TookS: waited.Seconds()})
 	case !holds && previous != 0:
 		delete(mgr.held, id)
-		mgr.restartWaitLocked(id, now)
+		mgr.resetWaitLocked(id, now)
 		mgr.opts.Log.Info("duty resigned or lost", "duty", id, "token", previous, "holder", h.Node)
 		mgr.opts.History.add(wire.DutyEvent{At: now, Kind: string(EventLost), Duty: id.String(), Node: mgr.opts.Node, Token: previous})
 	}
--- a/internal/duty/rentals.go
+++ b/internal/duty/rentals.go
@@ -11,16 +11,16 @@
 	"heronwick/wire"
 )
 
-// rentalOverhead is more bytes than a record takes besides its requests, and than a
+// rentalOverheadBytes is more bytes than a record takes besides its requests, and than a
 // request takes besides its names.
-const rentalOverhead = 128
+const rentalOverheadBytes = 128
 
-// requestsThatFit returns as many of the requests, in order, as fit an intent of maxBytes;
+// fittingRequests returns as many of the requests, in order, as fit an intent of maxBytes;
 // always the first one.
-func requestsThatFit(requests []wire.RentRequest, maxBytes int) []wire.RentRequest {
-	size := rentalOverhead
+func fittingRequests(requests []wire.RentRequest, maxBytes int) []wire.RentRequest {
+	size := rentalOverheadBytes
 	for i, r := range requests {
-		size += rentalOverhead + len(r.RequestID) + len(r.Type) + len(r.Zone)
+		size += rentalOverheadBytes + len(r.RequestID) + len(r.Type) + len(r.Zone)
 		if i > 0 && size > maxBytes {
 			return requests[:i]
 		}
@@ -39,7 +39,7 @@
 	if guard.unfenced || len(requests) == 0 {
 		return OpenRental{Requests: requests}, nil
 	}
-	requests = requestsThatFit(requests, a.opts.MaxValueBytes)
+	requests = fittingRequests(requests, a.opts.MaxValueBytes)
 	began := time.Now()
 	key := a.newIntentKey(rentalPrefix)
 	if err := a.recordIntent(ctx, guard, fence, state.Placement, key, rentalRecord{Token: guard.token, Requests: requests}); err != nil {
--- a/internal/duty/returns.go
+++ b/internal/duty/returns.go
@@ -11,15 +11,15 @@
 	"heronwick/wire"
 )
 
-// returnRecordOverhead is more bytes than an intent to return takes besides its machines.
-const returnRecordOverhead = 256
+// returnOverheadBytes is more bytes than an intent to return takes besides its machines.
+const returnOverheadBytes = 256
 
-// nameSyntax is how many bytes a machine's name takes in a record besides itself.
-const nameSyntax = len(`"",`)
+// nameOverheadBytes is how many bytes a machine's name takes in a record besides itself.
+const nameOverheadBytes = len(`"",`)
 
 // MaxReturnMachines returns how many of the machines fit one intent to return.
 func (a *Actions) MaxReturnMachines(machines []string) int {
-	return state.CountFittingNames(machines, returnRecordOverhead, nameSyntax, a.opts.MaxValueBytes)
+	return state.CountFittingNames(machines, returnOverheadBytes, nameOverheadBytes, a.opts.MaxValueBytes)
 }
 
 // HasReturnIntent reports whether an open intent of any controller returns a machine: no
@@ -32,7 +32,7 @@
 // completes: those of nodes that are no longer members, and of earlier holders of a duty
 // for the fleet.
 func (a *Actions) AbandonedReturns() []string {
-	return a.opts.RecordCache.AbandonedReturns(a.opts.Membership().current)
+	return a.opts.RecordCache.AbandonedReturns(a.opts.Membership().isCurrent)
 }
 
 // ReturnIntent is the right to return machines: an intent is recorded, or duties are off.
@@ -84,7 +84,7 @@
 	if !intent.unfenced {
 		a.recordEvent(EventReturned, intent.id, wire.DutyEvent{Token: intent.token, Count: len(intent.machines), TookS: time.Since(began).Seconds()})
 	}
-	a.addReturned(intent.machines)
+	a.markReturned(intent.machines)
 	return nil
 }
 
@@ -98,7 +98,7 @@
 	if err := a.opts.Provider.Return(ctx, machines); err != nil {
 		return err
 	}
-	a.addReturned(machines)
+	a.markReturned(machines)
 	return nil
 }
 
@@ -110,8 +110,8 @@
 	return a.opts.Provider.Return(ctx, intent.machines)
 }
 
-// addReturned notes when machines were returned, for CloseReturns.
-func (a *Actions) addReturned(machines []string) {
+// markReturned notes when machines were returned, for CloseReturns.
+func (a *Actions) markReturned(machines []string) {
 	if !a.Active() {
 		return
 	}
@@ -122,14 +122,14 @@
 	}
 }
 
-// maxClosed bounds how many intents one call of CloseReturns removes.
-const maxClosed = 4
+// maxClosedPerCall bounds how many intents one call of CloseReturns removes.
+const maxClosedPerCall = 4
 
 // CloseReturns removes intents whose machines were all returned by this controller. An
 // intent stays until settled reports that no controller can still take one of its
 // machines for one that is there. id is the cleanup duty under which they are removed.
 // A concurrent call does nothing.
-func (a *Actions) CloseReturns(ctx context.Context, id ID, settled func(machine string) bool) {
+func (a *Actions) CloseReturns(ctx context.Context, id ID, removalKnown func(machine string) bool) {
 	if !a.beginClosing() {
 		return
 	}
@@ -138,11 +138,11 @@
 	if err != nil {
 		return
 	}
-	a.forgetUncovered()
-	pending := func(machine string) bool { return !a.isReturned(machine) || !settled(machine) }
+	a.pruneReturned()
+	pending := func(machine string) bool { return !a.isReturned(machine) || !removalKnown(machine) }
 	closed := 0
 	for _, open := range a.opts.RecordCache.openReturns() {
-		if closed == maxClosed {
+		if closed == maxClosedPerCall {
 			return
 		}
 		if slices.ContainsFunc(open.Machines, pending) {
@@ -150,22 +150,22 @@
 		}
 		closed++
 		if a.closeIntent(ctx, guard, open.key, open.version, len(open.Machines)) {
-			a.forgetReturned(open.Machines)
+			a.removeReturned(open.Machines)
 		}
 	}
 }
 
-// maxIntentDelay is how much later than its machines' return an intent may be written: one
+// maxIntentWriteDelay is how much later than its machines' return an intent may be written: one
 // whose write had no response, and whose machines were returned without waiting for it.
-const maxIntentDelay = 10 * time.Minute
+const maxIntentWriteDelay = 10 * time.Minute
 
-// forgetUncovered forgets returned machines that no open intent covers: another controller
+// pruneReturned forgets returned machines that no open intent covers: another controller
 // has closed it, or there never was one.
-func (a *Actions) forgetUncovered() {
+func (a *Actions) pruneReturned() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	maps.DeleteFunc(a.returned, func(machine string, at time.Time) bool {
-		return !a.opts.RecordCache.HasReturnIntent(machine) && time.Since(at) > maxIntentDelay
+		return !a.opts.RecordCache.HasReturnIntent(machine) && time.Since(at) > maxIntentWriteDelay
 	})
 }
 
@@ -192,7 +192,7 @@
 	return !a.returned[machine].IsZero()
 }
 
-func (a *Actions) forgetReturned(machines []string) {
+func (a *Actions) removeReturned(machines []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, machine := range machines {
--- a/internal/duty/session.go
+++ b/internal/duty/session.go
@@ -12,13 +12,13 @@
 // session is the lease under which this controller holds all its duties, and the key that
 // is attached to it.
 type session struct {
-	lease   uint64    // ID at the key-value store; 0: there is none
-	version uint64    // of the session key
-	until   time.Time // the lease has not expired before then
+	lease      uint64    // ID at the key-value store; 0: there is none
+	version    uint64    // of the session key
+	validUntil time.Time // the lease has not expired before then
 }
 
 // valid reports whether the session's lease cannot have expired yet.
-func (s session) valid(now time.Time) bool { return s.lease != 0 && now.Before(s.until) }
+func (s session) valid(now time.Time) bool { return s.lease != 0 && now.Before(s.validUntil) }
 
 // currentSession returns this controller's session.
 func (mgr *Manager) currentSession() session {
@@ -27,25 +27,25 @@
 	return mgr.session
 }
 
-// keepSession begins a session if a member has none, and renews it if renew is set. It
+// ensureSession begins a session if a member has none, and renews it if renew is set. It
 // returns whether there is a valid one.
-func (mgr *Manager) keepSession(ctx context.Context, m Membership, renew bool) bool {
+func (mgr *Manager) ensureSession(ctx context.Context, m Membership, renew bool) bool {
 	s := mgr.currentSession()
 	seen := mgr.opts.RecordCache.sessionOf(mgr.opts.Node)
 	switch {
-	case s.lease == 0 || seen != s.version && mgr.opts.RecordCache.hasSeen(s.version):
+	case s.lease == 0 || seen != s.version && mgr.opts.RecordCache.caughtUpTo(s.version):
 		// There is none yet, its key is gone, or another incarnation of this node has
 		// begun one. Only one incarnation is a member.
-		return m.Since != 0 && mgr.beginSession(ctx, seen)
+		return m.Since != 0 && mgr.createSession(ctx, seen)
 	case renew:
 		return mgr.renewSession(ctx, s)
 	}
 	return s.valid(time.Now())
 }
 
-// beginSession begins a session in place of that of an earlier incarnation, whose session
+// createSession begins a session in place of that of an earlier incarnation, whose session
 // key has the version previous.
-func (mgr *Manager) beginSession(ctx context.Context, previous uint64) bool {
+func (mgr *Manager) createSession(ctx context.Context, previous uint64) bool {
 	sent := time.Now()
 	lease, err := mgr.opts.Store.Grant(ctx, mgr.opts.Lease)
 	if err != nil {
@@ -63,7 +63,7 @@
 	}
 	mgr.mu.Lock()
 	defer mgr.mu.Unlock()
-	mgr.session = session{lease: lease, version: version, until: leaseDeadline(sent, mgr.opts.Lease)}
+	mgr.session = session{lease: lease, version: version, validUntil: leaseDeadline(sent, mgr.opts.Lease)}
 	return true
 }
 
@@ -79,7 +79,7 @@
 	}
 	switch {
 	case err == nil:
-		mgr.session.until = leaseDeadline(sent, mgr.opts.Lease)
+		mgr.session.validUntil = leaseDeadline(sent, mgr.opts.Lease)
 	case errors.Is(err, state.ErrNotFound):
 		mgr.opts.Log.Info("duty lease expired")
 		mgr.session = session{}
