--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -19,11 +19,11 @@
 
 // Errors of the client.
 var (
-	// ErrNoCapacity means that no machine is available for the requested type, zone
-	// and kind.
+	// ErrNoCapacity means that the cloud has no machine of the requested type and kind
+	// (spot or ordinary) available in the requested zone.
 	ErrNoCapacity = errors.New("no capacity")
 	// ErrUnavailable means that the cloud could not be reached or answered with an
-	// error. The request may have been carried out, or may still be.
+	// error. The request may have been executed, or may still be executed later.
 	ErrUnavailable = errors.New("cloud unavailable")
 )
 
@@ -32,18 +32,18 @@
 	dialTimeout    = 2 * time.Second
 	// idleConnectionTimeout is how long an unused connection is kept.
 	idleConnectionTimeout = time.Minute
-	// maxConnections bounds the requests that are in flight at once.
+	// maxConnections bounds the number of concurrent requests.
 	maxConnections = 8
 )
 
-// Client is a client of the cloud that keeps within its request limit. It is safe for
-// concurrent use.
+// Client is a client of the cloud that respects the cloud's limit on the request rate. It
+// is safe for concurrent use.
 type Client struct {
 	http    *fasthttp.HostClient
 	limiter *rate.Limiter
 }
 
-// NewClient makes a client for the cloud at addr that sends at most rps requests a
+// NewClient returns a client for the cloud at addr that sends at most rps requests per
 // second.
 func NewClient(addr string, rps float64) *Client {
 	return &Client{
@@ -51,7 +51,7 @@
 			Addr:                      addr,
 			MaxConns:                  maxConnections,
 			MaxIdleConnDuration:       idleConnectionTimeout,
-			MaxIdemponentCallAttempts: 1, // no silent retries: they would exceed the limit
+			MaxIdemponentCallAttempts: 1, // no implicit retries, since they would bypass the rate limit
 			NoDefaultUserAgentHeader:  true,
 			Dial: func(addr string) (net.Conn, error) {
 				return fasthttp.DialTimeout(addr, dialTimeout)
@@ -61,29 +61,28 @@
 	}
 }
 
-// Types reads the machine types on offer.
+// Types returns the machine types that the cloud offers.
 func (c *Client) Types(ctx context.Context) ([]wire.MachineType, error) {
 	var types wire.MachineTypes
 	err := c.call(ctx, http.MethodGet, wire.PathTypes, nil, &types)
 	return types.Types, err
 }
 
-// Rent rents machines and returns their names. The same request may be repeated until
-// it is answered. The error is ErrNoCapacity or ErrUnavailable.
+// Rent rents machines and returns their names. It is idempotent: the same request may be
+// repeated until it is answered. The error wraps ErrNoCapacity or ErrUnavailable.
 func (c *Client) Rent(ctx context.Context, req wire.RentRequest) ([]string, error) {
 	var names wire.MachineNames
 	err := c.call(ctx, http.MethodPost, wire.PathMachines, req, &names)
 	return names.Machines, err
 }
 
-// Return gives machines back. Once it returns nil, they and all that was on them are
-// gone.
+// Return returns machines to the cloud. Once it returns nil, the machines and everything
+// that ran on them are gone.
 func (c *Client) Return(ctx context.Context, machines []string) error {
 	return c.call(ctx, http.MethodPost, wire.PathReturn, wire.MachineNames{Machines: machines}, nil)
 }
 
-// List reads all machines that the cloud lists. The list lags behind rentals and
-// returns.
+// List returns all machines on the cloud's list. The list lags behind rentals and returns.
 func (c *Client) List(ctx context.Context) ([]wire.Machine, error) {
 	var machines []wire.Machine
 	after := ""
@@ -100,8 +99,8 @@
 	}
 }
 
-// listTarget is the target of a request for the page of the list that begins after a
-// machine; "" for the first page.
+// listTarget returns the request target for the page of the list that starts after the
+// given machine, or for the first page if after is empty.
 func listTarget(after string) string {
 	target := fmt.Sprintf("%s?most=%d", wire.PathMachines, wire.MaxListPage)
 	if after != "" {
@@ -110,8 +109,8 @@
 	return target
 }
 
-// call sends a request within the limit and decodes the body of a 200 into reply,
-// unless that is nil.
+// call sends a request, once the rate limit allows it, and decodes the body of a response
+// with status 200 into reply, unless reply is nil.
 func (c *Client) call(ctx context.Context, method, target string, body, reply any) error {
 	if err := c.limiter.Wait(ctx); err != nil {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
@@ -141,7 +140,7 @@
 	return nil
 }
 
-// statusError is the error for a status that is not a success.
+// statusError returns the error for a response with a status other than 200.
 func statusError(status int, body []byte) error {
 	if status != http.StatusServiceUnavailable {
 		return fmt.Errorf("%w: status %d: %.200s", ErrUnavailable, status, body)
--- a/internal/cloud/doc.go
+++ b/internal/cloud/doc.go
@@ -1,3 +1,4 @@
-// Package cloud is the client of the cloud service that rents machines, and a
-// TypeCache of its machine types that survives restarts in the key-value store.
+// Package cloud provides a client of the cloud service that rents out machines, and a
+// TypeCache that caches the cloud's machine types in the key-value store, so that they
+// survive restarts.
 package cloud
--- a/internal/cloud/types.go
+++ b/internal/cloud/types.go
@@ -16,67 +16,68 @@
 // typesKey is the key that holds the machine types.
 const typesKey = "cloud/types"
 
-// Store is the part of the key-value store's client that TypeCache needs.
+// Store is the part of the key-value store client that TypeCache uses.
 type Store interface {
 	Get(ctx context.Context, p state.Priority, key string) (wire.Item, error)
 	Txn(ctx context.Context, p state.Priority, txn wire.Txn) (uint64, error)
 }
 
-// Source is the part of the cloud's client that TypeCache needs, see Client.
+// Source is the part of Client that TypeCache uses.
 type Source interface {
 	Types(ctx context.Context) ([]wire.MachineType, error)
 }
 
-// retryInterval is how long a failed read of the types waits before it is retried.
+// retryInterval is the delay between attempts to read the types.
 const retryInterval = 500 * time.Millisecond
 
-// TypeCache holds the cloud's machine types. They are cached in the store too, so
-// that a controller that starts while the cloud is unavailable can still place work.
+// TypeCache holds the cloud's machine types. It also stores them in the key-value store,
+// so that a controller that starts while the cloud is unavailable can still place tasks.
 // It is safe for concurrent use.
 type TypeCache struct {
 	source        Source
 	store         Store
-	maxValueBytes int // of a value of the store
+	maxValueBytes int // limit of the store on the size of a value
 	log           *slog.Logger
-	loaded        chan struct{} // closed once the types are known
+	loaded        chan struct{} // closed once types is set
 
 	mu    sync.Mutex
 	types []wire.MachineType
 }
 
-// NewTypeCache makes a TypeCache; Run fills it. A value of the store may have at most
-// maxValue bytes; types that do not fit are not cached in the store.
-func NewTypeCache(source Source, store Store, maxValue int, log *slog.Logger) *TypeCache {
-	return &TypeCache{source: source, store: store, maxValueBytes: maxValue, log: log, loaded: make(chan struct{})}
+// NewTypeCache returns an empty TypeCache, which Run fills. The types are not stored in the
+// key-value store if they exceed maxSize bytes, the limit of the store on a value.
+func NewTypeCache(source Source, store Store, maxSize int, log *slog.Logger) *TypeCache {
+	return &TypeCache{source: source, store: store, maxValueBytes: maxSize, log: log, loaded: make(chan struct{})}
 }
 
-// Types returns the machine types, nil while they are not known.
+// Types returns the machine types, or nil if they are not loaded yet.
 func (c *TypeCache) Types() []wire.MachineType {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.types
 }
 
-// WaitUntilLoaded waits until the machine types are known. The error is that of ctx.
+// WaitUntilLoaded waits until the machine types are loaded. It returns the error of ctx if
+// ctx ends first.
 func (c *TypeCache) WaitUntilLoaded(ctx context.Context) error { return wait.For(ctx, c.loaded) }
 
-// Run reads the types from the store or the cloud, again and again until it has them
-// or ctx ends.
+// Run reads the types from the store or the cloud and retries until it succeeds or ctx
+// ends.
 func (c *TypeCache) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		types, err := c.read(ctx)
 		if err == nil && len(types) > 0 {
 			c.set(types)
-			c.log.Info("machine types known", "count", len(types))
+			c.log.Info("machine types loaded", "count", len(types))
 			return nil
 		}
-		c.log.Info("machine types not known yet", "err", err)
+		c.log.Info("machine types not loaded yet; will retry", "err", err)
 		wait.Sleep(ctx, retryInterval)
 	}
 	return nil
 }
 
-// set makes the types known. It is called once.
+// set sets the types and unblocks WaitUntilLoaded. It must be called only once.
 func (c *TypeCache) set(types []wire.MachineType) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,7 +85,8 @@
 	close(c.loaded)
 }
 
-// read reads the types from the store, or else from the cloud.
+// read returns the types from the store or, if the store does not return a value, from the
+// cloud. Types read from the cloud are stored if the store has none.
 func (c *TypeCache) read(ctx context.Context) ([]wire.MachineType, error) {
 	item, err := c.store.Get(ctx, state.Safety, typesKey)
 	if err == nil {
@@ -102,8 +104,8 @@
 	return types, nil
 }
 
-// write caches the types in the store, unless another controller has done so. Types
-// that do not fit a value are read from the cloud at each start.
+// write stores the types in the key-value store, unless another controller has already
+// done so. Types that exceed the size of a value are read from the cloud at each start.
 func (c *TypeCache) write(ctx context.Context, types []wire.MachineType) {
 	value, err := json.Marshal(types)
 	if err != nil || len(value) > c.maxValueBytes {
@@ -113,5 +115,5 @@
 		If:   []wire.Condition{{Key: typesKey}},
 		Then: []wire.Change{{Put: typesKey, Value: value}},
 	})
-	c.log.Debug("machine types written", "err", err)
+	c.log.Debug("wrote machine types to the store", "err", err)
 }
--- a/internal/server/doc.go
+++ b/internal/server/doc.go
@@ -1,7 +1,8 @@
-// Package server is the HTTP interface of a controller: the users' API for
-// jobs, the workers' heartbeats, the operators' endpoints (dependency graphs,
-// duties, metrics) and the readiness check.
+// Package server implements the HTTP interface of a controller: the job API for
+// users, the heartbeat endpoint for workers, the endpoints for operators
+// (dependency graphs, duties, metrics) and the readiness check.
 //
-// Bodies are JSON and are declared in package wire. Whatever a handler cannot
-// do now but may do later is refused with 503 and a Retry-After header.
+// Request and response bodies are JSON; their types are declared in package wire. A
+// request that fails now but may succeed later is answered with 503 and a Retry-After
+// header.
 package server
--- a/internal/server/heartbeats.go
+++ b/internal/server/heartbeats.go
@@ -7,17 +7,18 @@
 	"heronwick/wire"
 )
 
-// HeartbeatResult is what a worker's heartbeat is answered with.
+// HeartbeatResult is the response to a worker's heartbeat.
 type HeartbeatResult struct {
-	// Reply is nil if this controller may not reply.
+	// Reply is nil if this controller may not reply to the worker.
 	Reply *wire.HeartbeatReply
-	// Redirect is, without a reply, the node that the worker should send its
-	// heartbeats to; empty if that is not known.
+	// Redirect is the node to which the worker should send its heartbeats instead. It is
+	// used only if Reply is nil, and is empty if the node is not known.
 	Redirect string
 }
 
-// handleHeartbeat answers a worker's heartbeat: 200 with the reply, or 421 with
-// the controller that the worker should turn to.
+// handleHeartbeat handles a worker's heartbeat. It responds with 200 and the reply, with
+// 421 and the controller to which the worker should send its heartbeats, or with 503 if
+// that controller is not known.
 func (s *Server) handleHeartbeat(request *fasthttp.RequestCtx) {
 	var heartbeat wire.Heartbeat
 	if err := json.Unmarshal(request.PostBody(), &heartbeat); err != nil || heartbeat.Machine == "" || heartbeat.Incarnation == 0 {
--- a/internal/server/jobs.go
+++ b/internal/server/jobs.go
@@ -13,30 +13,30 @@
 	"heronwick/wire"
 )
 
-// Jobs accepts, reports on and cancels jobs. An error other than a
-// *wire.FieldError says that the user should try again.
+// Jobs accepts and cancels jobs and returns their status. An error other than a
+// *wire.FieldError is temporary: the user should retry the request.
 type Jobs interface {
-	// Submit accepts a job unless that was done before. The error is a
-	// *wire.FieldError if the job cannot be accepted as it is.
+	// Submit accepts a job. A job that was accepted before is not accepted again. The
+	// error is a *wire.FieldError if the job can never be accepted.
 	Submit(ctx context.Context, submitted wire.Job) (job.Submission, error)
-	// Status returns the status of a job, if there is such a job.
+	// Status returns the status of a job, if the job exists.
 	Status(ctx context.Context, id string) (job.Lookup, error)
-	// Cancel cancels a job, if there is such a job, and returns its status then.
+	// Cancel cancels a job, if the job exists, and returns its status afterwards.
 	Cancel(ctx context.Context, id string) (job.Lookup, error)
 }
 
-// maxUserRequests bounds the user requests in progress. Beyond it they are
-// refused at once, so that workers' heartbeats are answered whatever users do.
+// maxUserRequests bounds the number of concurrent user requests. Further requests are
+// refused immediately, so that users cannot delay the replies to workers' heartbeats.
 const maxUserRequests = 200
 
-// maxSubmitLatency is the scheduling latency from which on submissions are refused:
-// each takes several such waits, and would be answered later than its user waits,
-// while heartbeats and placements need its processor time. With a fourth of this a
-// short burst counted as an overload, and users' jobs were accepted later than
-// without any bound.
+// maxSubmitLatency is the scheduling latency at and above which submissions are refused.
+// A submission waits for the processor several times, so at this latency it would be
+// answered only after the user's timeout, and it would take processor time from
+// heartbeats and placements. With a quarter of this value, a short burst counted as an
+// overload, and users' jobs were accepted later than without any limit.
 const maxSubmitLatency = time.Second
 
-// limitUserRequests returns a handler that refuses requests while too many user
+// limitUserRequests returns a handler that refuses requests while maxUserRequests user
 // requests are in progress, and otherwise calls handle.
 func (s *Server) limitUserRequests(handle fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(request *fasthttp.RequestCtx) {
@@ -50,7 +50,8 @@
 	}
 }
 
-// submitJob accepts a job: 201 if it is new, 200 if it was accepted before.
+// submitJob accepts a job. It responds with 201 if the job is new, and with 200 if it was
+// accepted before.
 func (s *Server) submitJob(request *fasthttp.RequestCtx) {
 	ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
 	defer cancel()
@@ -87,9 +88,9 @@
 	}
 }
 
-// rejectJob rejects a job for good, unless it was accepted before: a repeated
-// submission is answered as such, whatever else it holds now. id is empty if it
-// could not be read.
+// rejectJob rejects an invalid submission, unless a job with its id was accepted before.
+// A repeated submission of an accepted job is answered with the job's status, even if its
+// other fields are invalid now. id is empty if it could not be parsed.
 func (s *Server) rejectJob(ctx context.Context, request *fasthttp.RequestCtx, id string, code int, reason error) {
 	if id != "" {
 		accepted, err := s.opts.Jobs.Status(ctx, id)
@@ -101,8 +102,8 @@
 	s.respondError(request, code, reason)
 }
 
-// checkRunnable returns why a job can never run: its team is unknown, it needs
-// more than its team's limit, or no machine type fits its tasks.
+// checkRunnable returns an error if a job can never run: its team is unknown, it exceeds
+// its team's limit, or its tasks fit on no machine type.
 func (s *Server) checkRunnable(job *wire.Job, types []wire.MachineType) error {
 	if err := s.checkTeam(job); err != nil {
 		return err
@@ -113,8 +114,9 @@
 	return nil
 }
 
-// checkTeam returns a *wire.FieldError if teams are configured and the job's is
-// not among them, or if the least that the job needs at once is beyond its limit.
+// checkTeam returns a *wire.FieldError if teams are configured and the job's team is not
+// one of them, or if the minimum resources that the job needs at the same time exceed the
+// limit of its team.
 func (s *Server) checkTeam(job *wire.Job) error {
 	if len(s.teams) == 0 {
 		return nil
@@ -123,7 +125,7 @@
 	if !known {
 		return &wire.FieldError{Field: wire.FieldTeam, Reason: "no such team"}
 	}
-	concurrent := 1.0 // tasks that have to run at the same time
+	concurrent := 1.0 // number of tasks that have to run at the same time
 	if job.Kind != wire.KindArray {
 		concurrent = float64(job.Tasks)
 	}
@@ -134,21 +136,20 @@
 	return nil
 }
 
-// jobStatus answers with the status of a job.
+// jobStatus responds with the status of a job.
 func (s *Server) jobStatus(request *fasthttp.RequestCtx, id string) {
 	s.withJob(request, id, statusTimeout, s.opts.Jobs.Status)
 }
 
-// cancelJob cancels a job and answers with its status.
+// cancelJob cancels a job and responds with its status.
 func (s *Server) cancelJob(request *fasthttp.RequestCtx, id string) {
 	s.withJob(request, id, changeTimeout, s.opts.Jobs.Cancel)
 }
 
-// jobAction does something about a job, if there is such a job, and returns its
-// status.
+// jobAction reads or changes a job, if the job exists, and returns its status.
 type jobAction func(ctx context.Context, id string) (job.Lookup, error)
 
-// withJob calls action for a job and answers with the status that it returns.
+// withJob calls action for a job and responds with the status that it returns.
 func (s *Server) withJob(request *fasthttp.RequestCtx, id string, timeout time.Duration, action jobAction) {
 	if !wire.ValidJobID(id) {
 		s.respondError(request, fasthttp.StatusNotFound, errNoSuchJob)
@@ -160,7 +161,8 @@
 	s.respondStatus(request, found, err)
 }
 
-// respondStatus answers with the status of a job, if there is such a job.
+// respondStatus responds with the status of a job, with 404 if the job does not exist, or
+// with 503 if err is not nil.
 func (s *Server) respondStatus(request *fasthttp.RequestCtx, lookup job.Lookup, err error) {
 	switch {
 	case err != nil:
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -9,21 +9,20 @@
 
 // Gauge is a metric whose value is read when the metrics are scraped.
 type Gauge struct {
-	// Name and Help are the metric's, in Prometheus' form.
+	// Name and Help are the name and the help text of the Prometheus metric.
 	Name, Help string
 	// Value returns the current value. It must be safe for concurrent use.
 	Value func() float64
 }
 
-// metrics counts the responses. Everything else is read only when the metrics
-// are scraped, so that metrics that nobody reads cost nothing.
+// metrics counts the responses. All other values are computed only when the metrics are
+// scraped, so that they cost nothing while nobody scrapes them.
 type metrics struct {
 	responses *prometheus.CounterVec
 	serve     fasthttp.RequestHandler
 }
 
-// newMetrics registers the counter of responses and the gauges with a registry
-// of its own.
+// newMetrics registers the response counter and the gauges with a new registry.
 func newMetrics(gauges []Gauge) *metrics {
 	registry := prometheus.NewRegistry()
 	m := &metrics{responses: prometheus.NewCounterVec(prometheus.CounterOpts{
--- a/internal/server/operators.go
+++ b/internal/server/operators.go
@@ -10,18 +10,18 @@
 	"heronwick/wire"
 )
 
-// dutyParameter is the query parameter that names a duty, as NAME/SCOPE.
+// dutyParameter is the query parameter for the id of a duty, in the form NAME/SCOPE.
 const dutyParameter = "duty"
 
-// emptyObject is the body of a response that says nothing beside its status.
+// emptyObject is the body of a response that carries no data besides its status.
 type emptyObject struct{}
 
-// dependencyGraphs is the body of the list of dependency graphs.
+// dependencyGraphs is the body of the response that lists the dependency graphs.
 type dependencyGraphs struct {
 	Graphs []wire.DAG `json:"chains"`
 }
 
-// checkReady answers 200 if this controller can take requests.
+// checkReady responds with 200 if this controller can serve requests, otherwise with 503.
 func (s *Server) checkReady(request *fasthttp.RequestCtx) {
 	if !s.opts.Ready() {
 		s.respondUnavailable(request, errNotReady)
@@ -30,18 +30,19 @@
 	s.respond(request, fasthttp.StatusOK, emptyObject{})
 }
 
-// listDependencyGraphs answers with the live dependency graphs of jobs.
+// listDependencyGraphs responds with the live dependency graphs of jobs.
 func (s *Server) listDependencyGraphs(request *fasthttp.RequestCtx) {
 	s.respond(request, fasthttp.StatusOK, dependencyGraphs{s.opts.DependencyGraphs()})
 }
 
-// listDuties answers with the holders of the single duties and the open intents.
+// listDuties responds with the holders of the single duties and the open intents.
 func (s *Server) listDuties(request *fasthttp.RequestCtx) {
 	s.respond(request, fasthttp.StatusOK, s.opts.DutyReport())
 }
 
-// changeDuty returns a handler that calls change for the duty that the request
-// names: 404 if there is no such duty, 409 if its state does not allow the change.
+// changeDuty returns a handler that calls change for the duty given in the request. The
+// handler responds with 404 if there is no such duty, and with 409 if the state of the
+// duty does not allow the change.
 func (s *Server) changeDuty(change func(ctx context.Context, id string) error) fasthttp.RequestHandler {
 	return func(request *fasthttp.RequestCtx) {
 		ctx, cancel := context.WithTimeout(context.Background(), changeTimeout)
@@ -53,7 +54,8 @@
 		case errors.Is(err, duty.ErrUnknownDuty):
 			s.respondError(request, fasthttp.StatusNotFound, err)
 		default:
-			// Another controller holds the duty, nobody does, or its record can be read.
+			// Another controller or none holds the duty to hand over, or the record to
+			// clear is not corrupt.
 			s.respondError(request, fasthttp.StatusConflict, err)
 		}
 	}
--- a/internal/server/responses.go
+++ b/internal/server/responses.go
@@ -9,8 +9,8 @@
 	"heronwick/wire"
 )
 
-// What clients are told beside a status. Clients may read these texts, so they
-// are part of the interface.
+// Error texts in response bodies. Clients may match them, so they are part of the
+// interface.
 var (
 	errInternal          = errors.New("internal error")
 	errNoSuchPath        = errors.New("no such path")
@@ -23,16 +23,16 @@
 	errMayNotReply       = errors.New("no right to answer workers")
 )
 
-// retryAfter is after how many seconds a client that got 503 should come back.
-const retryAfter = "1"
+// retryAfterSeconds is the value of the Retry-After header of responses with status 503.
+const retryAfterSeconds = "1"
 
 const contentTypeJSON = "application/json"
 
-// respond answers with a status and a body, encoded as JSON.
+// respond sends a response with a status and a body, which it encodes as JSON.
 func (s *Server) respond(request *fasthttp.RequestCtx, status int, body any) {
 	text, err := json.Marshal(body)
 	if err != nil {
-		s.opts.Log.Error("encoding a response", "err", err)
+		s.opts.Log.Error("failed to encode a response body", "err", err)
 		status, text = fasthttp.StatusInternalServerError, []byte(`{"error":"internal error"}`)
 	}
 	request.SetStatusCode(status)
@@ -40,8 +40,8 @@
 	request.SetBody(text)
 }
 
-// respondError answers with a status and a wire.Error, which names the field of
-// the request that is wrong if err is a wire.FieldError.
+// respondError sends a response with a status and a wire.Error. If err is a
+// *wire.FieldError, the body also names the invalid field of the request.
 func (s *Server) respondError(request *fasthttp.RequestCtx, status int, err error) {
 	body := wire.Error{Error: err.Error()}
 	if fieldError, ok := errors.AsType[*wire.FieldError](err); ok {
@@ -50,9 +50,9 @@
 	s.respond(request, status, body)
 }
 
-// respondUnavailable answers 503 and says when to come back.
+// respondUnavailable sends a response with status 503 and a Retry-After header.
 func (s *Server) respondUnavailable(request *fasthttp.RequestCtx, err error) {
-	s.opts.Log.Debug("refused for now", "method", string(request.Method()), "path", string(request.Path()), "err", err)
-	request.Response.Header.Set(fasthttp.HeaderRetryAfter, retryAfter)
+	s.opts.Log.Debug("request refused with 503", "method", string(request.Method()), "path", string(request.Path()), "err", err)
+	request.Response.Header.Set(fasthttp.HeaderRetryAfter, retryAfterSeconds)
 	s.respondError(request, fasthttp.StatusServiceUnavailable, err)
 }
--- a/internal/server/routes.go
+++ b/internal/server/routes.go
@@ -11,13 +11,13 @@
 
 const pathMetrics = "/metrics"
 
-// Timeouts of the handlers. Users wait 2 s for a status and 5 s for the rest.
+// Timeouts of the handlers. Users wait 2 s for a status and 5 s for other responses.
 const (
 	statusTimeout = 1500 * time.Millisecond
 	changeTimeout = 2500 * time.Millisecond
 )
 
-// Kinds of requests, as the metrics label them.
+// Values of the metrics label for the kind of a request.
 const (
 	kindHeartbeat        = "report"
 	kindMetrics          = "metrics"
@@ -29,17 +29,17 @@
 	kindSubmit           = "submit"
 	kindStatus           = "poll"
 	kindCancel           = "cancel"
-	kindOther            = "other" // no such path
+	kindOther            = "other" // unknown paths
 )
 
-// route says how the requests to one path are answered.
+// route is the handler for the requests to one path.
 type route struct {
 	kind   string
-	method string // the only one that is allowed
+	method string // the only allowed method
 	handle fasthttp.RequestHandler
 }
 
-// fixedRoutes returns the routes whose path has no variable part, by path.
+// fixedRoutes returns the routes without variable parts in their paths, by path.
 func (s *Server) fixedRoutes() map[string]route {
 	return map[string]route{
 		wire.PathJobs:      {kindSubmit, fasthttp.MethodPost, s.limitUserRequests(s.submitJob)},
@@ -53,7 +53,7 @@
 	}
 }
 
-// findRoute returns the route of a path, if there is one.
+// findRoute returns the route of a path. ok is false if the path is unknown.
 func (s *Server) findRoute(path string) (found route, ok bool) {
 	if found, ok = s.routes[path]; ok {
 		return found, true
@@ -64,8 +64,8 @@
 	return route{}, false
 }
 
-// jobRoute returns the route of a job's own path, which is given without the
-// prefix that all of them share.
+// jobRoute returns the route of a path of one job. The path is given without the prefix
+// that is common to all jobs.
 func (s *Server) jobRoute(path string) (found route, ok bool) {
 	id, suffix, hasSuffix := strings.Cut(path, "/")
 	switch {
@@ -79,7 +79,7 @@
 	return route{}, false
 }
 
-// dispatch answers one request and returns its kind.
+// dispatch handles one request and returns its kind for the metrics.
 func (s *Server) dispatch(request *fasthttp.RequestCtx) (kind string) {
 	route, ok := s.findRoute(string(request.Path()))
 	if !ok {
