--- a/internal/duty/acquire.go
+++ b/internal/duty/acquire.go
@@ -11,8 +11,8 @@
 	"heronwick/wire"
 )
 
-// acquireWanted acquires every duty that this controller should hold and that is free. The
-// watch reports whether it was acquired.
+// acquireWanted tries to acquire every duty that this controller should hold and that is
+// free. The watch shows which of them were acquired.
 func (mgr *Manager) acquireWanted(ctx context.Context, m Membership) {
 	mgr.mu.Lock()
 	s, ids := mgr.session, slices.Collect(maps.Keys(mgr.wanted))
@@ -25,13 +25,13 @@
 		return
 	}
 	if _, err := mgr.opts.Store.Txn(ctx, state.Urgent, txn); err != nil {
-		// Another controller was faster, or the response was lost.
-		mgr.opts.Log.Debug("acquiring duties failed", "duties", ids, "err", err)
+		// Another controller has acquired one of them first, or the response was lost.
+		mgr.opts.Log.Debug("failed to acquire duties", "duties", ids, "err", err)
 	}
 }
 
-// acquisitionTxn returns the transaction that acquires those of the duties that are free, as
-// many as fit one.
+// acquisitionTxn returns the transaction that acquires those of the duties that are free,
+// limited to as many as fit in one transaction.
 func (mgr *Manager) acquisitionTxn(ids []ID, s session, m Membership) wire.Txn {
 	txn := wire.Txn{If: []wire.Condition{m.Epoch, {Key: sessionKey(mgr.opts.Node), Version: s.version}}}
 	record := encode(holderRecord{Node: mgr.opts.Node, Since: m.Since, Session: s.version})
@@ -45,7 +45,7 @@
 			continue
 		}
 		if len(txn.Then) == mgr.opts.MaxChanges {
-			mgr.TriggerReconcile() // the rest follows at once in another transaction
+			mgr.TriggerReconcile() // acquires the remaining ones in another transaction
 			break
 		}
 		txn.If = append(append(txn.If, wire.Condition{Key: holderKey(id), Version: h.token}), conditions...)
@@ -55,15 +55,16 @@
 }
 
 // isFree reports whether a duty may be acquired: it was resigned, its holder is no longer a
-// member, or its holder's lease has expired. evidence must still hold when it is acquired.
+// member, or its holder's lease has expired. The transaction that acquires the duty must
+// include the conditions, which prove that the duty is still free.
 func (mgr *Manager) isFree(h holder, m Membership) (conditions []wire.Condition, free bool) {
 	switch {
 	case h.corrupt:
-		return nil, false // logged when the ledger read it
+		return nil, false // logged when the record cache decoded it
 	case h.Node == "":
 		return nil, true
 	case h.Node == mgr.opts.Node, !m.isCurrent(h.Node, h.Since):
-		return nil, true // the own session and the epoch are conditions of every acquisition
+		return nil, true // this session and the epoch are conditions of every acquisition
 	}
 	seen := mgr.opts.RecordCache.sessionOf(h.Node)
 	if seen == h.Session {
@@ -72,7 +73,7 @@
 	return []wire.Condition{{Key: sessionKey(h.Node), Version: seen}}, true
 }
 
-// resignUnwanted resigns the duties that this controller holds and should not.
+// resignUnwanted resigns the duties that this controller holds but should not.
 func (mgr *Manager) resignUnwanted(ctx context.Context) {
 	mgr.mu.Lock()
 	s := mgr.session
@@ -96,16 +97,17 @@
 		return
 	}
 	if _, err := mgr.opts.Store.Txn(ctx, state.Urgent, txn); err != nil {
-		mgr.opts.Log.Debug("resigning duties failed", "duties", ids, "err", err)
+		mgr.opts.Log.Debug("failed to resign duties", "duties", ids, "err", err)
 	}
 }
 
-// handoverCooldown is how long a controller that has handed a duty over leaves it to others.
+// handoverCooldown is how long a controller does not acquire a duty that it has handed over,
+// so that another one can.
 const handoverCooldown = 2 * time.Second
 
-// HandOver resigns a duty, so that another controller acquires it or this one does under
-// a new token. It returns ErrNotHeld or another error of Guard.Check if this controller
-// does not hold it, and does not wait until the duty is acquired.
+// HandOver resigns a duty, so that another controller acquires it, or this one does under a
+// new token. It does not wait until the duty is acquired again. If this controller does not
+// hold the duty, it returns ErrNotHeld or another error of Guard.Check.
 func (mgr *Manager) HandOver(ctx context.Context, id ID) error {
 	if !mgr.Active() {
 		return fmt.Errorf("%w: single duties are off", ErrNotHeld)
@@ -122,9 +124,10 @@
 	return nil
 }
 
-// Clear removes the corrupt record of a duty for an operator; ErrNotCorrupt means that it
-// can be decoded. The duty is then acquired under a higher token, and intents under the
-// record's token are completed like those of any earlier holder.
+// Clear removes the corrupt record of a duty on an operator's request. It returns
+// ErrNotCorrupt if the record can be decoded. Afterwards the duty is acquired under a higher
+// token, and intents under the removed record's token are completed like those of any
+// earlier holder.
 func (mgr *Manager) Clear(ctx context.Context, id ID) error {
 	h := mgr.opts.RecordCache.holderOf(id)
 	if !h.corrupt {
--- a/internal/duty/actions.go
+++ b/internal/duty/actions.go
@@ -16,25 +16,25 @@
 
 // Provider rents and returns machines. Only Actions calls it.
 type Provider interface {
-	// Rent rents machines and returns their names. Repeating a request name rents nothing
-	// twice.
+	// Rent rents machines and returns their names. Repeating a request with the same ID
+	// rents no further machines.
 	Rent(ctx context.Context, req wire.RentRequest) ([]string, error)
-	// Return returns machines; those that are gone are ignored.
+	// Return returns machines to the cloud. It ignores machines that no longer exist.
 	Return(ctx context.Context, machines []string) error
 }
 
-// FencingProvider is a Provider that checks fencing tokens: it refuses a request whose
-// token is lower than the highest that it has seen, and so late requests of earlier
-// holders. The cloud of the published protocol does not check them.
+// FencingProvider is a Provider that checks fencing tokens: it refuses requests whose token
+// is lower than the highest that it has seen, and therefore late requests of earlier
+// holders. The published cloud protocol does not support fencing tokens.
 type FencingProvider interface {
 	Provider
 	RentFenced(ctx context.Context, token uint64, req wire.RentRequest) ([]string, error)
 	ReturnFenced(ctx context.Context, token uint64, machines []string) error
 }
 
-// Committer writes to the store in groups.
+// Committer groups writes to the store into transactions.
 type Committer interface {
-	// Commit carries a write out and returns the store's revision after it.
+	// Commit executes a write and returns the store's revision after it.
 	Commit(ctx context.Context, w state.Write) (uint64, error)
 }
 
@@ -46,30 +46,31 @@
 	RecordCache   *RecordCache
 	Committer     Committer
 	Membership    func() Membership
-	MaxValueBytes int // the store's limit of a value's size
+	MaxValueBytes int // the store's limit on the size of a value
 	History       *History
 	Log           *slog.Logger
 }
 
-// Actions is the only way to the Provider. With duties on, an intent is recorded before
-// every action. It is safe for concurrent use.
+// Actions sends all requests that rent or return machines to the Provider. While duties are
+// on, it requires a recorded intent for every action, except for SendUnrecordedReturn. It is
+// safe for concurrent use.
 type Actions struct {
 	opts ActionsOptions
 
 	mu              sync.Mutex
-	intentSeq       uint64               // how many keys of intents were made
-	returned        map[string]time.Time // machines returned under intents that are open, and when
-	refusalLoggedAt map[ID]time.Time     // when a refusal was last logged
-	closing         bool                 // CloseReturns runs
+	intentSeq       uint64               // number of intent keys generated so far
+	returned        map[string]time.Time // when machines were returned whose intents may still be open
+	refusalLoggedAt map[ID]time.Time     // when a refusal was last logged, by duty
+	closing         bool                 // a call of CloseReturns is running
 }
 
-// NewActions returns Actions.
+// NewActions returns Actions with the given options.
 func NewActions(opts ActionsOptions) *Actions {
 	return &Actions{opts: opts, returned: map[string]time.Time{}, refusalLoggedAt: map[ID]time.Time{}}
 }
 
-// NewUnfencedActions returns Actions with duties off: every action is permitted, and no intent is
-// recorded.
+// NewUnfencedActions returns Actions with duties off: every action is permitted, and no
+// intent is recorded.
 func NewUnfencedActions(provider Provider, log *slog.Logger) *Actions {
 	cache, history := NewRecordCache(log), NewHistory()
 	manager := NewManager(ManagerOptions{RecordCache: cache, History: history, Log: log})
@@ -79,10 +80,10 @@
 	})
 }
 
-// Active reports whether intents are recorded before actions.
+// Active reports whether actions require a recorded intent; see Manager.Active.
 func (a *Actions) Active() bool { return a.opts.Manager.Active() }
 
-// Guard returns the right to act for a duty like Manager.Guard, and records a refusal.
+// Guard returns the result of Manager.Guard and records a refusal.
 func (a *Actions) Guard(id ID) (Guard, error) {
 	guard, err := a.opts.Manager.Guard(id)
 	if err != nil {
@@ -91,18 +92,19 @@
 	return guard, err
 }
 
-// recordEvent adds an event of a duty that happened now to the history; details gives its
-// token, count and duration.
+// recordEvent adds an event of a duty, at the current time, to the history. details contains
+// its token, count and duration.
 func (a *Actions) recordEvent(kind EventKind, id ID, details wire.DutyEvent) {
 	details.At, details.Kind, details.Duty, details.Node = time.Now(), string(kind), id.String(), a.opts.Node
 	a.opts.History.add(details)
 }
 
-// refusalInterval is how often a refusal of the same duty is logged: in an outage the same
-// action is tried again and again.
+// refusalInterval is the minimum interval between log messages about refusals of the same
+// duty: during an outage the same action is retried continually.
 const refusalInterval = 5 * time.Second
 
-// recordRefusal logs and records that an action was refused because a duty is not held.
+// recordRefusal records in the log and the history that an action was refused because a duty
+// is not held. A repeated refusal within refusalInterval is only counted.
 func (a *Actions) recordRefusal(id ID, token uint64, err error) {
 	now := time.Now()
 	a.mu.Lock()
@@ -119,7 +121,7 @@
 	a.recordEvent(EventRefused, id, wire.DutyEvent{Token: token})
 }
 
-// checkGuard returns why a guard does not permit an action, and records that.
+// checkGuard returns the error of Guard.Check and records a refusal.
 func (a *Actions) checkGuard(guard Guard) error {
 	err := guard.Check()
 	if err != nil {
@@ -128,7 +130,7 @@
 	return err
 }
 
-// newIntentKey returns a key below prefix that is never used again.
+// newIntentKey returns a key under prefix that is never used for another intent.
 func (a *Actions) newIntentKey(prefix string) string {
 	a.mu.Lock()
 	a.intentSeq++
@@ -137,9 +139,9 @@
 	return state.MemberKey(prefix, a.opts.Node, a.opts.Membership().Since, strconv.FormatUint(number, 10))
 }
 
-// recordIntent writes an intent at a new key on the condition of the guard and of the
-// caller's fence. It returns an error of Guard.Check, ErrIntentTooLarge or that of the
-// write.
+// recordIntent writes an intent to a new key, with the guard's conditions and the caller's
+// fence as conditions of the write. It returns an error of Guard.Check, ErrIntentTooLarge or
+// the error of the write.
 func (a *Actions) recordIntent(ctx context.Context, guard Guard, fence state.FencingCondition, priority state.Priority, key string, record any) error {
 	if err := a.checkGuard(guard); err != nil {
 		return err
@@ -165,10 +167,10 @@
 	return nil
 }
 
-// closeIntent removes an intent of count machines or requests, on the condition of its
-// version and of the guard, and returns whether it is gone. If a late copy of the write
-// that recorded the intent brings it back, no harm is done: its machines are gone, and
-// its requests are answered as before.
+// closeIntent removes an intent of count machines or requests, on the conditions that its
+// version is unchanged and the guard still holds, and reports whether it succeeded. A late
+// copy of the write that recorded the intent may bring the intent back. That is harmless:
+// its machines no longer exist, and the cloud answers its requests as before.
 func (a *Actions) closeIntent(ctx context.Context, guard Guard, key string, version uint64, count int) bool {
 	_, err := a.opts.Committer.Commit(ctx, guard.Bind(state.Write{
 		Priority: state.Background,
@@ -176,7 +178,7 @@
 		Then:     []wire.Change{{Delete: key}},
 	}))
 	if err != nil {
-		a.opts.Log.Debug("closing an intent failed", "key", key, "err", err)
+		a.opts.Log.Debug("failed to close an intent", "key", key, "err", err)
 		return false
 	}
 	a.opts.RecordCache.applyRemoval(key, version)
--- a/internal/duty/cache.go
+++ b/internal/duty/cache.go
@@ -10,26 +10,25 @@
 	"heronwick/wire"
 )
 
-// RecordCache mirrors the duties and intents in the store, as far as this controller has seen
-// them. It is fed by the same watch as the epoch, takes no decisions, and is safe for
-// concurrent use.
+// RecordCache is a local copy of the duties and intents in the store. The watch that delivers
+// the epoch keeps it up to date. It makes no decisions and is safe for concurrent use.
 type RecordCache struct {
 	log *slog.Logger
 
 	mu       sync.Mutex
-	revision uint64 // everything up to here has been seen
-	entries  map[string]entry
+	revision uint64           // store revision up to which the cache is complete
+	entries  map[string]entry // by key
 	// Indexes of the entries.
 	holders  map[ID]holder
-	sessions map[string]uint64 // versions of the session keys, by node
-	machines map[string]string // keys of the intents to return, by machine
+	sessions map[string]uint64 // version of the session key, by node
+	machines map[string]string // key of the intent to return, by machine
 }
 
-// entry is a stored key of this package as it was last seen.
+// entry is the latest known value of a key of this package.
 type entry struct {
 	version      uint64
-	returnIntent *returnRecord // nil: the key holds no intent to return
-	rentalIntent *rentalRecord // nil: the key holds no intent to rent
+	returnIntent *returnRecord // nil if the key holds no intent to return
+	rentalIntent *rentalRecord // nil if the key holds no intent to rent
 }
 
 // holder is the stored holder of a duty.
@@ -44,7 +43,8 @@
 	return &RecordCache{log: log, entries: map[string]entry{}, holders: map[ID]holder{}, sessions: map[string]uint64{}, machines: map[string]string{}}
 }
 
-// Replace takes a listing of all keys as of a revision. Newer entries stay.
+// Replace replaces the entries with a listing of all keys as of a revision. Entries that are
+// newer than the revision stay.
 func (c *RecordCache) Replace(items []wire.Item, revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,7 +63,7 @@
 	c.revision = max(c.revision, revision)
 }
 
-// Apply takes all events of a watch up to a revision.
+// Apply applies all watch events up to a revision.
 func (c *RecordCache) Apply(events []wire.Event, revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,14 +79,15 @@
 	c.revision = max(c.revision, revision)
 }
 
-// applyWrite takes a key that this controller has written before the watch delivers it.
+// applyWrite applies a write of this controller without waiting for the watch to deliver it.
 func (c *RecordCache) applyWrite(key string, value json.RawMessage, version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.putLocked(key, value, version)
 }
 
-// applyRemoval takes a key's removal by this controller, which removed that version.
+// applyRemoval applies this controller's removal of a key that had the given version,
+// without waiting for the watch to deliver it.
 func (c *RecordCache) applyRemoval(key string, version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,7 +96,7 @@
 	}
 }
 
-// putLocked replaces a key's entry unless it is as new.
+// putLocked replaces the entry of a key unless the cached version is the same or newer.
 func (c *RecordCache) putLocked(key string, value json.RawMessage, version uint64) {
 	if version <= c.entries[key].version {
 		return
@@ -111,7 +112,8 @@
 	case strings.HasPrefix(key, returnPrefix):
 		e.returnIntent = &returnRecord{}
 		err = json.Unmarshal(value, e.returnIntent)
-		// What could be decoded of a corrupt record counts: its machines may be returned.
+		// The machines that could be decoded from a corrupt record are indexed as well,
+		// because another controller may return them.
 		for _, machine := range e.returnIntent.Machines {
 			c.machines[machine] = key
 		}
@@ -126,7 +128,7 @@
 	c.entries[key] = e
 }
 
-// putHolderLocked indexes the holder record of the duty called name.
+// putHolderLocked indexes the holder record of the duty whose ID is name.
 func (c *RecordCache) putHolderLocked(name string, value json.RawMessage, version uint64) error {
 	id, err := ParseID(name)
 	if err != nil {
@@ -139,7 +141,7 @@
 	return err
 }
 
-// deleteLocked removes a key's entry and what is indexed of it.
+// deleteLocked removes the entry of a key from the cache and its indexes.
 func (c *RecordCache) deleteLocked(key string) {
 	switch {
 	case strings.HasPrefix(key, holderPrefix):
@@ -161,21 +163,21 @@
 	return c.holders[id]
 }
 
-// allHolders returns the holders of all duties that have a record.
+// allHolders returns the holders of all duties that have a holder record.
 func (c *RecordCache) allHolders() map[ID]holder {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.holders)
 }
 
-// sessionOf returns the version of a node's session key; 0 if it has none.
+// sessionOf returns the version of a node's session key, or 0 if the key does not exist.
 func (c *RecordCache) sessionOf(node string) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.sessions[node]
 }
 
-// caughtUpTo reports whether everything up to a revision has been seen.
+// caughtUpTo reports whether the cache includes everything written up to a revision.
 func (c *RecordCache) caughtUpTo(revision uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Name is the kind of work that a duty covers.
+// Name is the kind of action that a duty permits.
 type Name string
 
 // The names of duties.
@@ -26,7 +26,7 @@
 // Fleet is the scope of a duty that covers all machines.
 const Fleet Scope = "fleet"
 
-// shardPrefix precedes the node's name in the scope of a shard.
+// shardPrefix precedes the name of the node in the scope of its shard.
 const shardPrefix = "share-"
 
 // Shard returns the scope of the shard that belongs to a node.
@@ -41,10 +41,10 @@
 // String returns the ID in the form NAME/SCOPE.
 func (id ID) String() string { return string(id.Name) + "/" + string(id.Scope) }
 
-// compareIDs orders IDs by their text.
+// compareIDs orders IDs by their string form.
 func compareIDs(a, b ID) int { return strings.Compare(a.String(), b.String()) }
 
-// ParseID parses the form NAME/SCOPE. Any other text is ErrUnknownDuty.
+// ParseID parses an ID of the form NAME/SCOPE. It returns ErrUnknownDuty for any other text.
 func ParseID(text string) (ID, error) {
 	name, scope, found := strings.Cut(text, "/")
 	if !found || scope == "" || strings.Contains(scope, "/") {
--- a/internal/duty/guard.go
+++ b/internal/duty/guard.go
@@ -8,13 +8,13 @@
 	"heronwick/wire"
 )
 
-// Guard is the right to act for a duty under one fencing token. Manager.Guard makes it;
+// Guard is the right to act for a duty under one fencing token. Manager.Guard returns it;
 // the zero Guard permits nothing.
 type Guard struct {
 	manager  *Manager
 	id       ID
 	token    uint64
-	unfenced bool // duties are off: every action is permitted
+	unfenced bool // duties are off, so every action is permitted
 }
 
 // Check returns nil while the duty is held under the Guard's token, and otherwise
@@ -29,8 +29,8 @@
 	return g.manager.check(g.id, g.token)
 }
 
-// Conditions returns the conditions that make a transaction fail once another controller
-// has acquired the duty.
+// Conditions returns the conditions that make a transaction fail once the duty was resigned
+// or another controller has acquired it.
 func (g Guard) Conditions() []wire.Condition {
 	if g.unfenced {
 		return nil
@@ -44,8 +44,8 @@
 	return w
 }
 
-// Guard returns the right to act for a duty, or the error that Guard.Check would return.
-// With duties off every controller has it.
+// Guard returns the right to act for a duty, or the error that Guard.Check would return. If
+// duties are off, every controller has that right.
 func (mgr *Manager) Guard(id ID) (Guard, error) {
 	if !mgr.Active() {
 		return Guard{unfenced: true}, nil
@@ -57,8 +57,9 @@
 	return Guard{manager: mgr, id: id, token: h.token}, nil
 }
 
-// check returns nil if this controller holds a duty under a token: the watch has shown
-// its holder record, and so everything written before, and the lease cannot have expired.
+// check returns nil if this controller holds a duty under a token: the watch has delivered
+// its holder record, and therefore everything written before it, and the lease cannot have
+// expired.
 func (mgr *Manager) check(id ID, token uint64) error {
 	membership := mgr.opts.Membership()
 	h := mgr.opts.RecordCache.holderOf(id)
--- a/internal/duty/history.go
+++ b/internal/duty/history.go
@@ -7,20 +7,20 @@
 	"heronwick/wire"
 )
 
-// EventKind says what happened to a duty or an intent. It is the Kind of a
-// wire.DutyEvent and part of a metric's name.
+// EventKind is the kind of a wire.DutyEvent: what happened to a duty or an intent. It is
+// also part of a metric's name.
 type EventKind string
 
 // The kinds of events.
 const (
-	EventAcquired       EventKind = "acquired"
-	EventLost           EventKind = "lost"       // also when it was resigned
-	EventRefused        EventKind = "refused"    // an action or intent, because the duty was not held
+	EventAcquired       EventKind = "acquired"   // a duty was acquired
+	EventLost           EventKind = "lost"       // a duty was lost or resigned
+	EventRefused        EventKind = "refused"    // an action or intent was refused because the duty was not held
 	EventReturnRecorded EventKind = "condemned"  // an intent to return machines was recorded
 	EventReturned       EventKind = "returned"   // machines were returned under an intent
 	EventUnrecorded     EventKind = "unrecorded" // machines were returned without an intent
 	EventRentalRecorded EventKind = "renting"    // an intent to rent was recorded
-	EventRented         EventKind = "rented"     // a request of an intent to rent was answered
+	EventRented         EventKind = "rented"     // the cloud responded to a request of an intent to rent
 	EventClosed         EventKind = "closed"     // an intent was removed
 )
 
@@ -34,8 +34,8 @@
 }
 
 const (
-	maxEvents       = 2000              // events that a History keeps at most
-	eventsAfterTrim = maxEvents * 3 / 4 // events that are kept when that is exceeded
+	maxEvents       = 2000              // maximum number of events in a History
+	eventsAfterTrim = maxEvents * 3 / 4 // number of newest events kept when maxEvents is exceeded
 )
 
 // History keeps the most recent events of this controller and counts all of them by kind.
@@ -59,21 +59,21 @@
 	}
 }
 
-// countRepeated counts an event without keeping it, since it repeats a recent one.
+// countRepeated counts an event without keeping it, because it repeats a recent one.
 func (h *History) countRepeated(kind EventKind) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.counts[kind]++
 }
 
-// Events returns the events that are kept, the oldest first; it is never nil.
+// Events returns the events that are kept, oldest first. The result is never nil.
 func (h *History) Events() []wire.DutyEvent {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]wire.DutyEvent{}, h.events...)
 }
 
-// Count returns how many events of a kind there were since the History was made.
+// Count returns the number of events of a kind since the History was created.
 func (h *History) Count(kind EventKind) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/duty/intents.go
+++ b/internal/duty/intents.go
@@ -9,31 +9,32 @@
 	"heronwick/wire"
 )
 
-// openReturn is an intent to return machines that is not closed.
+// openReturn is an open intent to return machines.
 type openReturn struct {
 	returnRecord
 	key     string
 	version uint64
 }
 
-// OpenRental is an intent to rent that is not closed.
+// OpenRental is an open intent to rent.
 type OpenRental struct {
 	Requests []wire.RentRequest
 	token    uint64
-	key      string // "": it was not recorded, since duties are off
+	key      string // "" if it was not recorded because duties are off
 	version  uint64
 }
 
-// HasReturnIntent reports whether an open intent returns a machine: no controller may place on it.
+// HasReturnIntent reports whether an open intent of any controller returns a machine, so
+// that no controller may place tasks on it.
 func (c *RecordCache) HasReturnIntent(machine string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machines[machine] != ""
 }
 
-// AbandonedReturns returns, sorted, the machines of open intents to return that only the leader
-// completes: their node is no longer a member, as current tells of a membership, or they
-// were recorded by an earlier holder of a duty for the fleet.
+// AbandonedReturns returns the machines, sorted, of open intents to return that only the
+// leader completes: the node that recorded the intent is no longer a member according to
+// isCurrent, or the intent was recorded by an earlier holder of a duty for the fleet.
 func (c *RecordCache) AbandonedReturns(isCurrent func(node string, since uint64) bool) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,19 +50,20 @@
 }
 
 // supersededLocked reports whether an intent was recorded by an earlier holder of a duty for
-// the fleet. A shard completes its own intents, whatever their token.
+// the fleet. Intents of a shard's duty are never superseded, because the shard's node
+// completes them whatever their token is.
 func (c *RecordCache) supersededLocked(intent *returnRecord) bool {
 	id, err := ParseID(intent.Duty)
 	return err == nil && id.Scope == Fleet && c.holders[id].token != intent.Token
 }
 
-// OpenIntents counts intents that are not closed.
+// OpenIntents are the numbers of open intents.
 type OpenIntents struct {
-	Returns int // of machines
-	Rentals int
+	Returns int // intents to return machines
+	Rentals int // intents to rent machines
 }
 
-// OpenIntents counts the intents of all controllers that are not closed.
+// OpenIntents counts the open intents of all controllers.
 func (c *RecordCache) OpenIntents() OpenIntents {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,7 +79,7 @@
 	return open
 }
 
-// openReturns returns the open intents to return, by key.
+// openReturns returns the open intents to return, sorted by key.
 func (c *RecordCache) openReturns() []openReturn {
 	return sortedIntents(c, func(a, b openReturn) int { return strings.Compare(a.key, b.key) },
 		func(key string, e entry) (openReturn, bool) {
@@ -88,13 +90,13 @@
 		})
 }
 
-// openRentals returns the open intents to rent, the oldest first.
+// openRentals returns the open intents to rent, oldest first.
 func (c *RecordCache) openRentals() []OpenRental {
 	return sortedIntents(c, func(a, b OpenRental) int { return cmp.Compare(a.version, b.version) }, newOpenRental)
 }
 
-// sortedIntents returns, in the order of compare, what convert makes of the ledger's
-// entries; it leaves out those for which convert returns false.
+// sortedIntents converts the entries of the cache and returns the results in the order of
+// compare. It omits entries for which convert returns false.
 func sortedIntents[T any](l *RecordCache, compare func(a, b T) int, convert func(key string, e entry) (T, bool)) []T {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -108,7 +110,7 @@
 	return open
 }
 
-// newOpenRental returns the intent to rent that an entry holds, if it holds one.
+// newOpenRental returns the intent to rent in an entry, or false if the entry holds none.
 func newOpenRental(key string, e entry) (OpenRental, bool) {
 	if e.rentalIntent == nil {
 		return OpenRental{}, false
@@ -116,14 +118,14 @@
 	return OpenRental{Requests: e.rentalIntent.Requests, token: e.rentalIntent.Token, key: key, version: e.version}, true
 }
 
-// openRental returns the open intent to rent at a key, if there is one.
+// openRental returns the open intent to rent at a key, or false if there is none.
 func (c *RecordCache) openRental(key string) (OpenRental, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return newOpenRental(key, c.entries[key])
 }
 
-// hasRentalIntent reports whether a request is part of an open intent to rent.
+// hasRentalIntent reports whether an open intent to rent includes a request ID.
 func (c *RecordCache) hasRentalIntent(request string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/duty/manager.go
+++ b/internal/duty/manager.go
@@ -14,24 +14,26 @@
 
 // Store is the part of the key-value store's client that this package needs.
 type Store interface {
-	// Txn carries out a transaction and returns the store's revision after it.
+	// Txn executes a transaction and returns the store's revision after it.
 	Txn(ctx context.Context, p state.Priority, txn wire.Txn) (revision uint64, err error)
 	// Grant grants a lease that expires after ttl unless renewed.
 	Grant(ctx context.Context, ttl time.Duration) (lease uint64, err error)
-	// Renew restarts a lease's ttl; state.ErrNotFound means that it has expired.
+	// Renew resets a lease to its full ttl. It returns state.ErrNotFound if the lease has
+	// expired.
 	Renew(ctx context.Context, lease uint64) error
 }
 
-// Membership is the newest epoch that a controller knows, as far as duties depend on it.
+// Membership is the part of the newest epoch known to a controller that duties depend on.
 type Membership struct {
-	Epoch    wire.Condition    // holds while no newer epoch was written
-	Since    uint64            // epoch version from which this controller is a member; 0: it is none
+	Epoch    wire.Condition    // holds until a newer epoch is written
+	Since    uint64            // token of the epoch in which this controller joined; 0 if not a member
 	IsLeader bool              // this controller is the leader
 	Members  map[string]uint64 // Since of each member, by node
-	Fresh    bool              // everything written under older epochs has been seen
+	Fresh    bool              // the watch has delivered everything written under older epochs
 }
 
-// isCurrent reports whether a node's membership is one of the epoch's.
+// isCurrent reports whether a node is a member of the epoch and joined in the epoch since. A
+// node that has left and joined again is a different member.
 func (m Membership) isCurrent(node string, since uint64) bool {
 	return since != 0 && m.Members[node] == since
 }
@@ -39,14 +41,14 @@
 // ManagerOptions configure a Manager.
 type ManagerOptions struct {
 	Node        string
-	Incarnation uint64        // differs each time that the controller starts
-	Lease       time.Duration // of the duties; 0: duties are off
+	Incarnation uint64        // unique to each start of the controller
+	Lease       time.Duration // duration of the lease under which duties are held; 0 turns duties off
 	Store       Store
 	RecordCache *RecordCache
-	// Ready reports whether all controllers can decode what is stored for duties.
+	// Ready reports whether all controllers can decode the records of this package.
 	Ready      func() bool
 	Membership func() Membership
-	MaxChanges int // the store's limit of a transaction's changes
+	MaxChanges int // the store's limit on the changes in a transaction
 	History    *History
 	Log        *slog.Logger
 }
@@ -59,9 +61,9 @@
 
 	mu            sync.Mutex
 	session       session
-	wanted        map[ID]time.Time // duties that this controller should hold, and since when
+	wanted        map[ID]time.Time // start of the current wait for each duty this controller should hold
 	held          map[ID]uint64    // tokens of the duties last seen as held, for log and history
-	cooldownUntil map[ID]time.Time // duties handed over, not to be acquired before then
+	cooldownUntil map[ID]time.Time // time before which a duty that was handed over is not acquired
 }
 
 // NewManager returns a Manager that does nothing until Run is called.
@@ -70,11 +72,11 @@
 }
 
 // Active reports whether actions are fenced: duties are on, and every controller can decode
-// what they store.
+// the records of this package.
 func (mgr *Manager) Active() bool { return mgr.opts.Lease > 0 && mgr.opts.Ready() }
 
-// TriggerReconcile makes the Manager look at once because the epoch or a duty has changed. It does not
-// block.
+// TriggerReconcile makes Run reconcile at once, because the epoch or a duty has changed. It
+// does not block.
 func (mgr *Manager) TriggerReconcile() {
 	select {
 	case mgr.trigger <- struct{}{}:
@@ -82,7 +84,7 @@
 	}
 }
 
-// Run keeps the duties until ctx ends. It returns nil.
+// Run acquires, renews and resigns duties until ctx is done. It returns nil.
 func (mgr *Manager) Run(ctx context.Context) error {
 	if mgr.opts.Lease <= 0 {
 		return nil
@@ -105,8 +107,8 @@
 	}
 }
 
-// reconcile keeps the session, then resigns and acquires duties until this controller
-// holds the ones it should.
+// reconcile ensures that there is a valid session, and renews it if renew is set. Then it
+// resigns and acquires duties, so that this controller holds those that it should.
 func (mgr *Manager) reconcile(ctx context.Context, renew bool) {
 	membership := mgr.opts.Membership()
 	mgr.recordTransitions(time.Now())
@@ -131,7 +133,7 @@
 	return ids
 }
 
-// updateWanted notes which duties this controller should hold.
+// updateWanted updates the set of duties that this controller should hold.
 func (mgr *Manager) updateWanted(m Membership, now time.Time) {
 	mgr.mu.Lock()
 	defer mgr.mu.Unlock()
@@ -146,8 +148,8 @@
 	}
 }
 
-// resetWaitLocked returns how long this controller has wanted a duty and counts anew
-// from now; 0 if it does not want it.
+// resetWaitLocked returns how long this controller has been waiting to hold a duty, or 0 if
+// it should not hold it, and restarts the wait at now.
 func (mgr *Manager) resetWaitLocked(id ID, now time.Time) time.Duration {
 	since, wanted := mgr.wanted[id]
 	if !wanted {
@@ -169,7 +171,7 @@
 	}
 }
 
-// recordTransitionLocked does what recordHeld does for one duty.
+// recordTransitionLocked is recordTransitions for a single duty.
 func (mgr *Manager) recordTransitionLocked(id ID, now time.Time) {
 	h := mgr.opts.RecordCache.holderOf(id)
 	previous := mgr.held[id]
--- a/internal/duty/record.go
+++ b/internal/duty/record.go
@@ -7,9 +7,10 @@
 	"heronwick/wire"
 )
 
-// Keys of the key-value store that this package owns. They lie below the prefix that
-// package cluster watches, so a watch delivers them in one order with the epoch: a
-// controller that has seen an epoch has seen every intent written under an older one.
+// Prefixes of the keys that this package owns in the key-value store. They lie under the
+// prefix that package cluster watches, so a single watch delivers their changes and those
+// of the epoch in order: a controller that has seen an epoch has seen every intent written
+// under an older one.
 const (
 	dutyPrefix    = "cluster/duty/"
 	holderPrefix  = dutyPrefix + "holder/"
@@ -18,23 +19,25 @@
 	rentalPrefix  = dutyPrefix + "rental/"
 )
 
-// holderRecord is the value of a duty's key. It is not attached to a lease and never
-// removed, except by Manager.Clear: the key's version is the duty's fencing token. Tokens
-// rise even across a removal, since the store's revision only rises.
+// holderRecord is the value of a duty's key, whose version is the duty's fencing token. The
+// key is not attached to a lease and is never removed, except by Manager.Clear. Tokens
+// increase even across a removal, because a version is a revision of the store, which only
+// increases.
 type holderRecord struct {
-	Node    string `json:"node"`    // "": the duty is not held
-	Since   uint64 `json:"since"`   // epoch version from which the holder is a member
+	Node    string `json:"node"`    // "" if no controller holds the duty
+	Since   uint64 `json:"since"`   // token of the epoch in which the holder became a member
 	Session uint64 `json:"session"` // version of the holder's session key
 }
 
-// sessionRecord is the value of a controller's session key, which is attached to a
-// lease: the lease has not expired while the key has the version recorded by a holder.
+// sessionRecord is the value of a controller's session key, which is attached to a lease.
+// The lease of a duty's holder has not expired while the holder's session key has the
+// version that the holder record names.
 type sessionRecord struct {
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// returnRecord is an intent to return machines. No controller places on them again, so
-// returning them is safe at any later time.
+// returnRecord is an intent to return machines. Once it is stored, no controller places
+// tasks on the machines, so returning them is safe at any later time.
 type returnRecord struct {
 	Duty     string   `json:"duty"`
 	Token    uint64   `json:"token"`
@@ -42,8 +45,8 @@
 	Machines []string `json:"machines"`
 }
 
-// rentalRecord is an intent to rent. A later holder of the duty repeats its requests
-// under the same request names, which rents nothing twice.
+// rentalRecord is an intent to rent. A later holder of the duty sends its requests again
+// under the same request IDs, so no machine is rented twice.
 type rentalRecord struct {
 	Token    uint64             `json:"token"`
 	Requests []wire.RentRequest `json:"requests"`
@@ -56,7 +59,8 @@
 // isDutyKey reports whether a key belongs to this package.
 func isDutyKey(key string) bool { return strings.HasPrefix(key, dutyPrefix) }
 
-// encode returns a record's stored form. The records of this package always encode.
+// encode returns the JSON form of a record. It panics on failure, which cannot happen for
+// the record types of this package.
 func encode(record any) json.RawMessage {
 	value, err := json.Marshal(record)
 	if err != nil {
--- a/internal/duty/rentals.go
+++ b/internal/duty/rentals.go
@@ -11,12 +11,12 @@
 	"heronwick/wire"
 )
 
-// rentalOverheadBytes is more bytes than a record takes besides its requests, and than a
-// request takes besides its names.
+// rentalOverheadBytes is an upper bound on the bytes that a rentalRecord takes in addition to
+// its requests, and that a request takes in addition to its ID, machine type and zone.
 const rentalOverheadBytes = 128
 
-// fittingRequests returns as many of the requests, in order, as fit an intent of maxBytes;
-// always the first one.
+// fittingRequests returns the longest prefix of the requests that fits in an intent of
+// maxBytes, but at least the first request.
 func fittingRequests(requests []wire.RentRequest, maxBytes int) []wire.RentRequest {
 	size := rentalOverheadBytes
 	for i, r := range requests {
@@ -28,13 +28,13 @@
 	return requests
 }
 
-// OpenRentals returns the requests that are recorded and not known to be answered, of this
-// controller and of earlier holders, the oldest intent first.
+// OpenRentals returns the open intents to rent of this controller and of earlier holders,
+// oldest first. The cloud may not have responded to their requests.
 func (a *Actions) OpenRentals() []OpenRental { return a.opts.RecordCache.openRentals() }
 
-// RecordRentals records requests before they are sent, as many of them as fit one intent.
-// With duties off it records nothing and returns an intent of all requests. It returns an
-// error of Guard.Check, ErrIntentTooLarge or that of the write.
+// RecordRentals records an intent to send as many of the requests as fit in one intent. If
+// duties are off, it records nothing and returns an intent with all requests. It returns an
+// error of Guard.Check, ErrIntentTooLarge or the error of the write.
 func (a *Actions) RecordRentals(ctx context.Context, guard Guard, fence state.FencingCondition, requests []wire.RentRequest) (OpenRental, error) {
 	if guard.unfenced || len(requests) == 0 {
 		return OpenRental{Requests: requests}, nil
@@ -53,9 +53,9 @@
 	return open, nil
 }
 
-// Rent sends one recorded request and returns the names of the machines rented. Repeating
-// it rents nothing twice. It returns ErrNoIntent if the request is not recorded, an error
-// of Guard.Check, or one of the Provider such as cloud.ErrNoCapacity.
+// Rent sends a recorded request and returns the names of the rented machines. Repeating the
+// request rents no further machines. Rent returns ErrNoIntent if the request is not
+// recorded, an error of Guard.Check, or an error of the Provider such as cloud.ErrNoCapacity.
 func (a *Actions) Rent(ctx context.Context, guard Guard, req wire.RentRequest) ([]string, error) {
 	if err := a.checkGuard(guard); err != nil {
 		return nil, err
@@ -71,7 +71,7 @@
 	return names, err
 }
 
-// rentMachines sends a rental, with its token if the Provider checks tokens.
+// rentMachines sends a request, with the fencing token if the Provider checks tokens.
 func (a *Actions) rentMachines(ctx context.Context, guard Guard, req wire.RentRequest) ([]string, error) {
 	if p, ok := a.opts.Provider.(FencingProvider); ok && !guard.unfenced {
 		return p.RentFenced(ctx, guard.token, req)
@@ -79,7 +79,7 @@
 	return a.opts.Provider.Rent(ctx, req)
 }
 
-// CloseRental removes an intent to rent whose requests were all answered.
+// CloseRental removes an intent to rent after the cloud has responded to all its requests.
 func (a *Actions) CloseRental(ctx context.Context, guard Guard, open OpenRental) {
 	if guard.unfenced || open.key == "" {
 		return
--- a/internal/duty/report.go
+++ b/internal/duty/report.go
@@ -7,8 +7,8 @@
 	"heronwick/wire"
 )
 
-// Report returns this controller's view of the duties for an operator. Its lists are never
-// nil.
+// Report returns this controller's view of the duties for operators. The lists in it are
+// never nil.
 func (mgr *Manager) Report() wire.Duties {
 	report := wire.Duties{
 		Node: mgr.opts.Node, Active: mgr.Active(), LeaseS: mgr.opts.Lease.Seconds(),
@@ -21,7 +21,7 @@
 	return report
 }
 
-// reportDuties lists the duties by ID.
+// reportDuties lists the duties, sorted by ID.
 func (mgr *Manager) reportDuties() []wire.Duty {
 	duties := []wire.Duty{}
 	for id, h := range mgr.opts.RecordCache.allHolders() {
@@ -31,7 +31,7 @@
 	return duties
 }
 
-// reportReturns lists the open intents to return, by key.
+// reportReturns lists the open intents to return, sorted by key.
 func (c *RecordCache) reportReturns() []wire.ReturnIntent {
 	intents := []wire.ReturnIntent{}
 	for _, open := range c.openReturns() {
@@ -40,7 +40,7 @@
 	return intents
 }
 
-// reportRentals lists the open intents to rent, the oldest first.
+// reportRentals lists the open intents to rent, oldest first.
 func (c *RecordCache) reportRentals() []wire.RentalIntent {
 	intents := []wire.RentalIntent{}
 	for _, open := range c.openRentals() {
@@ -53,7 +53,7 @@
 	return intents
 }
 
-// HeldCount counts the duties that this controller may act for now.
+// HeldCount returns the number of duties that this controller may act for now.
 func (mgr *Manager) HeldCount() int {
 	held := 0
 	for id, h := range mgr.opts.RecordCache.allHolders() {
--- a/internal/duty/returns.go
+++ b/internal/duty/returns.go
@@ -11,48 +11,49 @@
 	"heronwick/wire"
 )
 
-// returnOverheadBytes is more bytes than an intent to return takes besides its machines.
+// returnOverheadBytes is an upper bound on the bytes that a returnRecord takes in addition to
+// its machines.
 const returnOverheadBytes = 256
 
-// nameOverheadBytes is how many bytes a machine's name takes in a record besides itself.
+// nameOverheadBytes is the number of bytes of JSON syntax for each machine name in a record.
 const nameOverheadBytes = len(`"",`)
 
-// MaxReturnMachines returns how many of the machines fit one intent to return.
+// MaxReturnMachines returns how many of the machines, in order, fit in one intent to return.
 func (a *Actions) MaxReturnMachines(machines []string) int {
 	return state.CountFittingNames(machines, returnOverheadBytes, nameOverheadBytes, a.opts.MaxValueBytes)
 }
 
-// HasReturnIntent reports whether an open intent of any controller returns a machine: no
-// controller may place on it. It also holds while duties are off.
+// HasReturnIntent reports whether an open intent of any controller returns a machine, so
+// that no controller may place tasks on it. It also applies while duties are off.
 func (a *Actions) HasReturnIntent(machine string) bool {
 	return a.opts.RecordCache.HasReturnIntent(machine)
 }
 
-// AbandonedReturns returns, sorted, the machines of open intents to return that only the leader
-// completes: those of nodes that are no longer members, and of earlier holders of a duty
-// for the fleet.
+// AbandonedReturns returns the machines, sorted, of open intents to return that only the
+// leader completes: those of nodes that are no longer members, and those of earlier holders
+// of a duty for the fleet.
 func (a *Actions) AbandonedReturns() []string {
 	return a.opts.RecordCache.AbandonedReturns(a.opts.Membership().isCurrent)
 }
 
-// ReturnIntent is the right to return machines: an intent is recorded, or duties are off.
-// The zero ReturnIntent permits nothing.
+// ReturnIntent is the right to return machines, because an intent is recorded or duties are
+// off. The zero ReturnIntent permits nothing.
 type ReturnIntent struct {
 	id       ID
-	token    uint64 // 0: another intent covers the machines, or duties are off
+	token    uint64 // 0 if other intents cover the machines or duties are off
 	machines []string
 	unfenced bool // duties are off
 }
 
-// RecordReturn records the intent to return those of the machines that no open intent
-// covers, and returns the right to return all of them. From then on no controller places
-// on them, so returning them is safe at any later time. fence binds the record to the
-// caller's view of who owns the machines; reason is for operators. It returns an error of
-// Guard.Check, ErrIntentTooLarge or that of the write.
+// RecordReturn records an intent to return those of the machines that no open intent covers,
+// and returns the right to return all of them. Once the intent is recorded, no controller
+// places tasks on the machines, so returning them is safe at any later time. fence makes the
+// write fail if the caller's view of who owns the machines is outdated; reason is shown to
+// operators. It returns an error of Guard.Check, ErrIntentTooLarge or the error of the write.
 func (a *Actions) RecordReturn(ctx context.Context, id ID, fence state.FencingCondition, machines []string, reason string) (ReturnIntent, error) {
 	uncovered := slices.DeleteFunc(slices.Clone(machines), a.HasReturnIntent)
 	if len(uncovered) == 0 {
-		return ReturnIntent{id: id, machines: machines}, nil // also while no controller can hold the duty
+		return ReturnIntent{id: id, machines: machines}, nil // needs no Guard, so works even while no controller can hold the duty
 	}
 	guard, err := a.Guard(id)
 	if err != nil {
@@ -70,9 +71,9 @@
 	return ReturnIntent{id: id, token: guard.token, machines: machines}, nil
 }
 
-// SendReturn returns machines whose return is recorded. It may be called at any time, also
-// after the duty was lost, and after another controller has returned the machines and
-// closed the intent.
+// SendReturn returns machines whose return is recorded. It may be called at any time, even
+// after this controller has lost the duty, and after another controller has returned the
+// machines and closed the intent.
 func (a *Actions) SendReturn(ctx context.Context, intent ReturnIntent) error {
 	if len(intent.machines) == 0 {
 		return fmt.Errorf("%w: returning machines", ErrNoIntent)
@@ -88,10 +89,10 @@
 	return nil
 }
 
-// SendUnrecordedReturn returns machines without an intent. It is for cancelled tasks that
-// must be gone by a time while the store cannot be reached: no other controller can come
-// to own such a machine meanwhile, and the request can harm it only if it is carried out
-// after that.
+// SendUnrecordedReturn returns machines without an intent. It is for machines with cancelled
+// tasks that must be stopped by a deadline while the store is unreachable. No other
+// controller can become the owner of such a machine during the outage, so the request can do
+// harm only if the cloud executes it after the outage.
 func (a *Actions) SendUnrecordedReturn(ctx context.Context, id ID, machines []string) error {
 	a.opts.Log.Warn("returning machines without an intent: a cancelled task must be gone", "duty", id, "machines", machines)
 	a.recordEvent(EventUnrecorded, id, wire.DutyEvent{Count: len(machines)})
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// returnMachines sends a return, with its token if the Provider checks tokens.
+// returnMachines sends a return, with the fencing token if the Provider checks tokens.
 func (a *Actions) returnMachines(ctx context.Context, intent ReturnIntent) error {
 	if p, ok := a.opts.Provider.(FencingProvider); ok && intent.token != 0 {
 		return p.ReturnFenced(ctx, intent.token, intent.machines)
@@ -110,7 +111,7 @@
 	return a.opts.Provider.Return(ctx, intent.machines)
 }
 
-// markReturned notes when machines were returned, for CloseReturns.
+// markReturned records when machines were returned, for CloseReturns.
 func (a *Actions) markReturned(machines []string) {
 	if !a.Active() {
 		return
@@ -122,13 +123,13 @@
 	}
 }
 
-// maxClosedPerCall bounds how many intents one call of CloseReturns removes.
+// maxClosedPerCall is the maximum number of intents that one call of CloseReturns removes.
 const maxClosedPerCall = 4
 
 // CloseReturns removes intents whose machines were all returned by this controller. An
-// intent stays until settled reports that no controller can still take one of its
-// machines for one that is there. id is the cleanup duty under which they are removed.
-// A concurrent call does nothing.
+// intent stays open until removalKnown reports, for each of its machines, that no controller
+// can still believe that the machine exists. id is the cleanup duty under which the intents
+// are removed. A call does nothing while another one runs.
 func (a *Actions) CloseReturns(ctx context.Context, id ID, removalKnown func(machine string) bool) {
 	if !a.beginClosing() {
 		return
@@ -155,12 +156,14 @@
 	}
 }
 
-// maxIntentWriteDelay is how much later than its machines' return an intent may be written: one
-// whose write had no response, and whose machines were returned without waiting for it.
+// maxIntentWriteDelay is the longest time by which the write of an intent may take effect
+// after its machines were returned. That happens if the write got no response and the
+// machines were returned without waiting for it.
 const maxIntentWriteDelay = 10 * time.Minute
 
-// pruneReturned forgets returned machines that no open intent covers: another controller
-// has closed it, or there never was one.
+// pruneReturned removes returned machines that no open intent covers: another controller has
+// closed the intent, or there never was one. It keeps them for maxIntentWriteDelay, so that
+// CloseReturns also closes an intent that is written late.
 func (a *Actions) pruneReturned() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -169,7 +172,8 @@
 	})
 }
 
-// beginClosing reports whether CloseReturns has something to do and does not run yet.
+// beginClosing reports whether CloseReturns may have intents to close and no other call of it
+// is running. If so, it marks CloseReturns as running.
 func (a *Actions) beginClosing() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/duty/session.go
+++ b/internal/duty/session.go
@@ -9,12 +9,12 @@
 	"heronwick/wire"
 )
 
-// session is the lease under which this controller holds all its duties, and the key that
-// is attached to it.
+// session is the lease under which this controller holds all its duties, and the session key
+// that is attached to the lease.
 type session struct {
-	lease      uint64    // ID at the key-value store; 0: there is none
-	version    uint64    // of the session key
-	validUntil time.Time // the lease has not expired before then
+	lease      uint64    // the key-value store's ID of the lease; 0 if there is none
+	version    uint64    // version of the session key
+	validUntil time.Time // time before which the lease cannot have expired
 }
 
 // valid reports whether the session's lease cannot have expired yet.
@@ -27,15 +27,15 @@
 	return mgr.session
 }
 
-// ensureSession begins a session if a member has none, and renews it if renew is set. It
-// returns whether there is a valid one.
+// ensureSession creates a session if this controller is a member and has none, and renews
+// an existing one if renew is set. It reports whether the session is valid.
 func (mgr *Manager) ensureSession(ctx context.Context, m Membership, renew bool) bool {
 	s := mgr.currentSession()
 	seen := mgr.opts.RecordCache.sessionOf(mgr.opts.Node)
 	switch {
 	case s.lease == 0 || seen != s.version && mgr.opts.RecordCache.caughtUpTo(s.version):
-		// There is none yet, its key is gone, or another incarnation of this node has
-		// begun one. Only one incarnation is a member.
+		// There is no session yet, its key was removed, or another incarnation of this node
+		// has created one. Only one incarnation is a member and may replace it.
 		return m.Since != 0 && mgr.createSession(ctx, seen)
 	case renew:
 		return mgr.renewSession(ctx, s)
@@ -43,13 +43,13 @@
 	return s.valid(time.Now())
 }
 
-// createSession begins a session in place of that of an earlier incarnation, whose session
-// key has the version previous.
+// createSession creates a session, replacing one of an earlier incarnation: previous is the
+// version of the existing session key, 0 if there is none. It reports whether it succeeded.
 func (mgr *Manager) createSession(ctx context.Context, previous uint64) bool {
 	sent := time.Now()
 	lease, err := mgr.opts.Store.Grant(ctx, mgr.opts.Lease)
 	if err != nil {
-		mgr.opts.Log.Debug("granting the duty lease failed", "err", err)
+		mgr.opts.Log.Debug("failed to grant the duty lease", "err", err)
 		return false
 	}
 	version, err := mgr.opts.Store.Txn(ctx, state.Urgent, wire.Txn{
@@ -57,8 +57,8 @@
 		Then: []wire.Change{{Put: sessionKey(mgr.opts.Node), Value: encode(sessionRecord{Incarnation: mgr.opts.Incarnation}), Lease: lease}},
 	})
 	if err != nil {
-		// If it is carried out late, it leaves a key that expires with its lease.
-		mgr.opts.Log.Debug("writing the duty session failed", "err", err)
+		// If the store executes the write later, the key expires with its lease.
+		mgr.opts.Log.Debug("failed to write the duty session", "err", err)
 		return false
 	}
 	mgr.mu.Lock()
@@ -67,8 +67,8 @@
 	return true
 }
 
-// renewSession renews the session's lease and returns whether the session is valid. The
-// lease counts from when the renewal was sent, however late its response arrives.
+// renewSession renews the session's lease and reports whether the session is valid. The
+// renewed lease is counted from when the renewal was sent, however late its response arrives.
 func (mgr *Manager) renewSession(ctx context.Context, s session) bool {
 	sent := time.Now()
 	err := mgr.opts.Store.Renew(ctx, s.lease)
@@ -84,7 +84,7 @@
 		mgr.opts.Log.Info("duty lease expired")
 		mgr.session = session{}
 	default:
-		mgr.opts.Log.Debug("renewing the duty lease failed", "err", err)
+		mgr.opts.Log.Debug("failed to renew the duty lease", "err", err)
 	}
 	return mgr.session.valid(time.Now())
 }
