--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -1,28 +1,28 @@
 package wire
 
-// Paths of the cloud.
+// Paths of the cloud's HTTP interface.
 const (
 	PathTypes    = "/flavors"
 	PathMachines = "/rentals"
 	PathReturn   = "/rentals/return"
 )
 
-// NoCapacity is the error text of a rental for which the cloud has no machine
-// (HTTP 503).
+// NoCapacity is the error text of the response to a rental for which the cloud has
+// no machine available (HTTP 503).
 const NoCapacity = "no capacity"
 
-// Limits of the cloud's interface: machines in one rental, one return and one
-// page of the list.
+// Limits of the cloud's interface: the maximum numbers of machines in one rental, in
+// one return and on one page of the list.
 const (
 	MaxRent     = 50
 	MaxReturn   = 100
 	MaxListPage = 500
 )
 
-// MachineType is a type of machine that the cloud rents.
+// MachineType is a type of machine that the cloud rents out.
 //
-// CacheGB is how much its image cache holds, FetchGBPerS how fast it fetches
-// images; prices are those of an hour; BootS is the usual time in seconds from the
+// CacheGB is the capacity of the machine's image cache, FetchGBPerS the speed at which
+// it fetches images. Prices are per hour. BootS is the usual time in seconds from the
 // rental until the machine is up.
 type MachineType struct {
 	Name        string   `json:"label"`
@@ -37,13 +37,13 @@
 	Zones       []string `json:"marshes"`
 }
 
-// MachineTypes lists the types on offer.
+// MachineTypes is the list of machine types that the cloud offers.
 type MachineTypes struct {
 	Types []MachineType `json:"breeds"`
 }
 
-// RentRequest asks for machines. RequestID makes the rental idempotent: it must
-// never be used again for another one.
+// RentRequest is a request to rent Count machines. RequestID makes the rental
+// idempotent: it must never be reused for another rental.
 type RentRequest struct {
 	RequestID string `json:"tender"`
 	Type      string `json:"breed"`
@@ -52,7 +52,7 @@
 	Count     int    `json:"how_many"`
 }
 
-// MachineNames is the answer to a rental and the request of a return.
+// MachineNames is the response to a rental and the request body of a return.
 type MachineNames struct {
 	Machines []string `json:"perches"`
 }
@@ -67,8 +67,8 @@
 	MachineFailed  MachineState = "failed"
 )
 
-// Machine is one entry of the cloud's list; AgeS is the time in seconds since the
-// rental was requested, as of the moment of the list.
+// Machine is one entry of the cloud's list. AgeS is the time in seconds from the request
+// of the rental to the time of the list.
 type Machine struct {
 	ID      string       `json:"uid"`
 	Address string       `json:"address"`
--- a/wire/fields.go
+++ b/wire/fields.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	// maxAmount bounds every amount: larger ones are surely mistakes, and sums
-	// of bounded numbers stay finite.
+	// maxAmount bounds every amount. Larger amounts can only be mistakes, and the
+	// bound keeps sums of amounts finite.
 	maxAmount = 1e9
-	// maxTextBytes bounds every string.
+	// maxTextBytes bounds the length of every string.
 	maxTextBytes = 200
 )
 
-// fields reads a JSON object one named field at a time and keeps the first
-// error. Names match exactly, unlike encoding/json's own struct decoding, which
-// would take "UID" for "uid".
+// fields decodes the fields of a JSON object by name and keeps the first error. Names
+// must match exactly, whereas struct decoding by encoding/json ignores case and would
+// accept "UID" for "uid".
 type fields struct {
 	raw map[string]json.RawMessage
 	err *FieldError
 }
 
-// fail records that a field is wrong, unless an earlier one is.
+// fail records an error for a field, unless an error was recorded before.
 func (f *fields) fail(name, reason string) {
 	if f.err == nil {
 		f.err = &FieldError{Field: name, Reason: reason}
 	}
 }
 
-// value returns the field's JSON text; null counts as missing.
+// value returns the JSON text of a field. ok is false if the field is missing or null.
 func (f *fields) value(name string) (raw json.RawMessage, ok bool) {
 	raw, ok = f.raw[name]
 	if !ok || bytes.Equal(raw, []byte("null")) {
@@ -39,10 +39,10 @@
 	return raw, true
 }
 
-// parser decodes and checks the JSON text of the named field.
+// parser decodes and validates the JSON text of the named field.
 type parser[T any] func(name string, raw json.RawMessage) T
 
-// required parses a field that must not be missing.
+// required parses a field, and records an error if it is missing.
 func required[T any](f *fields, name string, parse parser[T]) T {
 	raw, ok := f.value(name)
 	if !ok {
@@ -53,7 +53,7 @@
 	return parse(name, raw)
 }
 
-// optional parses a field, nil if it is missing.
+// optional parses a field. It returns nil if the field is missing.
 func optional[T any](f *fields, name string, parse parser[T]) *T {
 	raw, ok := f.value(name)
 	if !ok {
@@ -69,7 +69,7 @@
 
 func (f *fields) amount(name string) float64 { return required(f, name, f.parseAmount) }
 
-// count reads an integer between low and high.
+// count parses an integer that must be between low and high, inclusive.
 func (f *fields) count(name string, low, high int) int {
 	return required(f, name, func(name string, raw json.RawMessage) int {
 		return f.parseCount(name, raw, low, high)
@@ -121,7 +121,8 @@
 	return int(count)
 }
 
-// decodeStrings decodes a JSON list of strings, none of them null.
+// decodeStrings decodes a JSON list of strings. ok is false if raw is anything else or if
+// an entry is null.
 func decodeStrings(raw json.RawMessage) (list []string, ok bool) {
 	var entries []*string
 	if json.Unmarshal(raw, &entries) != nil {
--- a/wire/operator.go
+++ b/wire/operator.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// PathDAGs is where operators list the live dependency DAGs of jobs.
+// PathDAGs is the path at which operators list the live dependency DAGs of jobs.
 const PathDAGs = "/chains"
 
 // DAG is a live dependency DAG of jobs: its sink, the job that no other job
 // depends on, and all the sink's transitive dependencies.
 type DAG struct {
 	Sink string `json:"last"`
-	// Deadline is when the sink has to be done; nil when it has no deadline.
+	// Deadline is the time by which the sink has to be done, or nil if it has no
+	// deadline.
 	Deadline *time.Time `json:"deadline,omitempty"`
-	// LeftS is the time left until the deadline in seconds, negative once it
-	// has passed; nil when there is no deadline.
+	// LeftS is the time until the deadline in seconds, or nil if there is no deadline.
+	// It is negative after the deadline.
 	LeftS *float64 `json:"left_s,omitempty"`
 	// ExpectedS is the estimated time in seconds until the sink is done.
 	ExpectedS float64 `json:"expected_s"`
-	// InDanger reports that, by the estimates, the sink misses its deadline.
+	// InDanger reports whether the sink is estimated to miss its deadline.
 	InDanger bool `json:"in_danger"`
-	// Jobs are all jobs of the DAG, in the order in which they were accepted.
+	// Jobs contains all jobs of the DAG, in the order in which they were accepted.
 	Jobs []DAGJob `json:"jobs"`
 }
 
@@ -30,7 +31,7 @@
 	Tasks   int      `json:"feathers"`
 	Done    int      `json:"done"`
 	Running int      `json:"running"`
-	// WaitsFor are the job's dependencies that are not done yet.
+	// WaitsFor lists the job's dependencies that are not done yet.
 	WaitsFor []string `json:"waits_for,omitempty"`
 }
 
@@ -41,29 +42,28 @@
 	PathClear    = "/duties/clear"
 )
 
-// Duties is a controller's view of the single duties and of the intents
-// that are still open.
+// Duties is a controller's view of the single duties and of the open intents.
 type Duties struct {
 	Node string `json:"node"`
-	// Active reports that actions are recorded as intents before they are sent.
+	// Active reports whether actions are recorded as intents before they are sent.
 	Active  bool           `json:"active"`
 	LeaseS  float64        `json:"lease_s"`
 	Duties  []Duty         `json:"duties"`
 	Returns []ReturnIntent `json:"condemned"`
 	Rentals []RentalIntent `json:"rentals"`
-	Events  []DutyEvent    `json:"events"` // of this controller, the oldest first
-	Counts  map[string]int `json:"counts"` // of all its events, by kind
+	Events  []DutyEvent    `json:"events"` // recent events of this controller, oldest first
+	Counts  map[string]int `json:"counts"` // numbers of all events of this controller, by kind
 }
 
-// Duty is one single duty, its holder and its fencing token.
+// Duty is a single duty with its holder and its fencing token.
 type Duty struct {
 	ID     string `json:"duty"`
-	Holder string `json:"holder"` // "": nobody
+	Holder string `json:"holder"` // empty if no controller holds the duty
 	Token  uint64 `json:"token"`
-	// Leader reports that this controller holds the duty and may act for it now.
+	// Leader reports whether this controller holds the duty and may act under it now.
 	Leader bool `json:"here"`
-	// Corrupt reports that the duty's record cannot be decoded, so no
-	// controller takes it.
+	// Corrupt reports whether the duty's record cannot be decoded. No controller
+	// acquires a duty with a corrupt record.
 	Corrupt bool `json:"damaged,omitempty"`
 }
 
@@ -82,8 +82,8 @@
 	Requests []string `json:"requests"`
 }
 
-// DutyEvent is a change of a duty or an intent. Count is how many machines or
-// requests it concerns, TookS its duration in seconds.
+// DutyEvent is a change of a duty or of an intent. Count is the number of machines or
+// requests that the event is about, TookS its duration in seconds.
 type DutyEvent struct {
 	At    time.Time `json:"at"`
 	Kind  string    `json:"kind"`
--- a/wire/spellings_test.go
+++ b/wire/spellings_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// The paths, field names and values of the protocol: peers of every version know them
-// by these spellings. Other tests may use the constants because this one fixes them.
+// The paths, field names and values of the protocol must not change, since users, workers
+// and the services rely on them. Other tests may use the constants because this test
+// checks their values.
 func TestProtocolSpellings(t *testing.T) {
 	for _, spelling := range []struct{ got, want string }{
 		{PathTypes, "/flavors"},
--- a/wire/state.go
+++ b/wire/state.go
@@ -11,8 +11,8 @@
 	SuffixRenew = "extend"
 )
 
-// Item is a key with its value. Version is the revision of its last change, Lease
-// the lease that it expires with; 0: none.
+// Item is a key with its value. Version is the revision of its last change. Lease is the
+// lease to which the key is attached, or 0 if there is none.
 type Item struct {
 	Key     string          `json:"path"`
 	Value   json.RawMessage `json:"data"`
@@ -20,21 +20,23 @@
 	Lease   uint64          `json:"tether,omitempty"`
 }
 
-// ItemList is a page of keys, as of Revision.
+// ItemList is one page of a list of keys as of Revision. More reports whether further pages
+// follow.
 type ItemList struct {
 	Items    []Item `json:"items"`
 	More     bool   `json:"has_next"`
 	Revision uint64 `json:"tide"`
 }
 
-// Condition holds when the key has the version; 0 means that it does not
+// Condition holds if the key has the given version. Version 0 means that the key does not
 // exist.
 type Condition struct {
 	Key     string `json:"path"`
 	Version uint64 `json:"mark"`
 }
 
-// Change puts or deletes one key. A put with a Lease is undone when that expires.
+// Change puts or deletes one key. A key that is put with a Lease is deleted when the lease
+// expires.
 type Change struct {
 	Put    string          `json:"write,omitempty"`
 	Delete string          `json:"drop,omitempty"`
@@ -42,31 +44,32 @@
 	Lease  uint64          `json:"tether,omitempty"`
 }
 
-// Txn is a compare-and-swap: its changes are made together when all its
+// Txn is a compare-and-swap transaction: its changes are applied atomically if all its
 // conditions hold.
 type Txn struct {
 	If   []Condition `json:"when"`
 	Then []Change    `json:"then"`
 }
 
-// TxnReply answers a transaction: Revision is that at which it was carried out
-// (200), Failed the keys of the conditions that did not hold (409).
+// TxnReply is the response to a transaction. Revision is the revision at which the changes
+// were applied (HTTP 200), Failed lists the keys of the conditions that did not hold (HTTP
+// 409).
 type TxnReply struct {
 	Revision uint64   `json:"tide"`
 	Failed   []string `json:"failed"`
 }
 
-// LeaseRequest asks for a lease of so many milliseconds.
+// LeaseRequest is a request for a lease with a time to live in milliseconds.
 type LeaseRequest struct {
 	TTLMs int64 `json:"life_ms"`
 }
 
-// Lease answers a lease request.
+// Lease is the response to a LeaseRequest.
 type Lease struct {
 	ID uint64 `json:"tether"`
 }
 
-// Event is one change seen by a watch: a put when Put is set, else a delete.
+// Event is one change observed by a watch: a put if Put is set, otherwise a delete.
 type Event struct {
 	Put     string          `json:"write"`
 	Delete  string          `json:"drop"`
@@ -74,7 +77,7 @@
 	Version uint64          `json:"mark"`
 }
 
-// Events is the answer to a watch: the changes up to Revision, oldest first.
+// Events is the response to a watch: the changes up to Revision, oldest first.
 type Events struct {
 	Revision uint64  `json:"tide"`
 	Events   []Event `json:"log"`
--- a/wire/user.go
+++ b/wire/user.go
@@ -7,23 +7,23 @@
 	SuffixCancel = "withdraw"
 )
 
-// MaxBody is the largest request body that any interface accepts.
+// MaxBody is the maximum size in bytes of a request body, for all interfaces.
 const MaxBody = 64 << 10
 
-// MaxTasks is the largest number of tasks that one job may have.
+// MaxTasks is the maximum number of tasks of a job.
 const MaxTasks = 100_000
 
-// Kind says how a job's tasks run.
+// Kind specifies how a job's tasks run.
 type Kind string
 
-// The kinds of job.
+// The kinds of jobs.
 const (
 	KindArray   Kind = "array"
 	KindService Kind = "daemon"
 	KindGang    Kind = "ensemble" // all tasks run together or none does
 )
 
-// Priority is the class by which jobs are ordered; see Rank.
+// Priority is the priority class of a job. Rank defines the order of the classes.
 type Priority string
 
 // The priorities, highest first.
@@ -34,8 +34,8 @@
 	PriorityLow    Priority = "idle"
 )
 
-// Rank returns the priority as a number, 0 being the highest. Unknown
-// priorities rank below all others.
+// Rank returns the priority as a number. 0 is the highest priority. Unknown priorities
+// rank below all others.
 func (p Priority) Rank() int {
 	switch p {
 	case PriorityProd:
@@ -50,7 +50,7 @@
 	return 4
 }
 
-// JobState is the state of a job as users see it.
+// JobState is the state of a job that is reported to users.
 type JobState string
 
 // The states of a job.
@@ -61,11 +61,11 @@
 	JobCancelled JobState = "aborted"
 )
 
-// Final reports whether a job in this state never changes again.
+// Final reports whether a job in this state can no longer change.
 func (s JobState) Final() bool { return s == JobDone || s == JobCancelled }
 
-// Job is a job as its user submits it. CPUs, GPUs and memory are those of each
-// task; fields that end in S are durations in seconds.
+// Job is a job in the form in which users submit it. CPUs, GPUs and MemoryGB are per task.
+// Fields that end in S are durations in seconds.
 type Job struct {
 	ID          string   `json:"uid"`
 	Class       string   `json:"flight"`
@@ -77,23 +77,23 @@
 	GPUs        float64  `json:"accelerators"`
 	MemoryGB    float64  `json:"ram_gb"`
 	Image       string   `json:"plumage"`
-	ImageGB     float64  `json:"pull_gb"`          // what a machine fetches to run it
-	Types       []string `json:"breeds,omitempty"` // machine types it may run on; empty: any
-	Zone        *string  `json:"marsh,omitempty"`  // the only zone it may run in; nil: any
-	OneZone     bool     `json:"same_place"`       // all tasks in the same zone
-	Spread      bool     `json:"spread"`           // at most half of the tasks, rounded up, in one zone
-	Spot        bool     `json:"drift"`            // spot machines are allowed
-	EstimateS   float64  `json:"flight_s"`         // of a task's run time without the image fetch; 0 for services
-	CheckpointS float64  `json:"molt_s"`           // of progress between checkpoints; 0: the task never saves
-	SaveS       float64  `json:"preen_s"`          // to save when it is stopped
-	DeadlineS   *float64 `json:"dusk_s,omitempty"` // from submission; nil: none
-	// Dependencies are the jobs of the DAG that have to be done before any
-	// task of this one starts, each named once.
+	ImageGB     float64  `json:"pull_gb"`          // amount of data that a machine fetches for the image
+	Types       []string `json:"breeds,omitempty"` // allowed machine types; empty for any
+	Zone        *string  `json:"marsh,omitempty"`  // the only allowed zone; nil for any
+	OneZone     bool     `json:"same_place"`       // all tasks must run in the same zone
+	Spread      bool     `json:"spread"`           // at most half of the tasks, rounded up, may run in one zone
+	Spot        bool     `json:"drift"`            // tasks may run on spot machines
+	EstimateS   float64  `json:"flight_s"`         // estimated run time of a task without the image fetch; 0 for services
+	CheckpointS float64  `json:"molt_s"`           // progress between checkpoints; 0 if tasks do not save checkpoints
+	SaveS       float64  `json:"preen_s"`          // time that a stopped task needs to save its progress
+	DeadlineS   *float64 `json:"dusk_s,omitempty"` // time from submission to the deadline; nil for none
+	// Dependencies lists, without duplicates, the jobs that have to be done before any
+	// task of this job starts.
 	Dependencies []string `json:"follows,omitempty"`
 }
 
-// JobStatus answers a submission, a poll or a cancellation. Done and Running
-// count tasks.
+// JobStatus is the response to a submission, a status request or a cancellation. Done and
+// Running are numbers of tasks.
 type JobStatus struct {
 	ID      string   `json:"uid"`
 	State   JobState `json:"stance"`
@@ -101,14 +101,15 @@
 	Running int      `json:"running"`
 }
 
-// Error is the body of every refusal.
+// Error is the body of every error response. Field names the invalid field of the request,
+// if there is one.
 type Error struct {
 	Error string `json:"error"`
 	Field string `json:"field,omitempty"`
 }
 
-// FieldError is the error of a submission that can never be accepted: it says
-// which field is wrong, "" for the job as a whole, and why.
+// FieldError is the error for a submission that can never be accepted. Field is the invalid
+// field, or empty if the error concerns the job as a whole.
 type FieldError struct {
 	Field  string
 	Reason string
--- a/wire/worker.go
+++ b/wire/worker.go
@@ -1,30 +1,30 @@
 package wire
 
-// Paths between workers and controllers: heartbeats, direct commands and
-// worker status.
+// Paths for the requests between workers and controllers: heartbeats, direct commands
+// and worker status.
 const (
 	PathHeartbeat = "/checkin"
 	PathCommands  = "/orders"
 	PathStatus    = "/show"
 )
 
-// MaxCommands is the largest number of commands in one message. It keeps messages
-// to a worker below 64 KiB.
+// MaxCommands is the maximum number of commands in one message. It keeps messages to a
+// worker smaller than 64 KiB.
 const MaxCommands = 400
 
-// TaskState is the state of a task on its machine, as its worker reports it.
+// TaskState is the state of a task on its machine, as reported by the machine's worker.
 type TaskState string
 
 // The states of a task.
 const (
 	TaskFetching TaskState = "fetching"
-	TaskWaiting  TaskState = "gathering" // a task of a gang: for the others
+	TaskWaiting  TaskState = "gathering" // task of a gang that waits for the other tasks
 	TaskRunning  TaskState = "running"
 	TaskSaving   TaskState = "saving"
 	TaskExited   TaskState = "ended"
 )
 
-// ExitReason says why a task exited.
+// ExitReason is the reason why a task exited.
 type ExitReason string
 
 // The exit reasons.
@@ -35,13 +35,13 @@
 	ExitNoCapacity     ExitReason = "no_room"
 	ExitBusy           ExitReason = "busy"
 	ExitUnknown        ExitReason = "unknown"
-	ExitPeerLost       ExitReason = "peers" // a task of a gang: another one was lost
-	ExitGangIncomplete ExitReason = "alone" // a task of a gang: the others did not start in time
+	ExitPeerLost       ExitReason = "peers" // task of a gang: another task was lost
+	ExitGangIncomplete ExitReason = "alone" // task of a gang: the other tasks did not start in time
 )
 
-// TaskStatus is the status of one attempt of a task in a worker's heartbeat.
-// Reason is set once it has exited; Checkpointed reports that a stopped task has
-// saved its progress.
+// TaskStatus is the status of one attempt of a task in a worker's heartbeat. Reason is set
+// if the attempt has exited. Checkpointed reports whether a stopped task has saved its
+// progress.
 type TaskStatus struct {
 	Task         string     `json:"feather"`
 	Attempt      uint64     `json:"hop"`
@@ -50,10 +50,9 @@
 	Checkpointed bool       `json:"kept,omitempty"`
 }
 
-// Heartbeat is a worker's periodic report of its machine and tasks. Of two
-// heartbeats the one with the larger (Incarnation, Seq) is the newer one.
-// NoticeS is the time in seconds until the cloud takes a spot machine away, nil
-// when it has given no notice.
+// Heartbeat is a worker's periodic report on its machine and tasks. The newer of two
+// heartbeats is the one with the larger (Incarnation, Seq). NoticeS is the time in seconds
+// until the cloud takes a spot machine away, or nil if the cloud has given no notice.
 type Heartbeat struct {
 	Machine      string       `json:"perch"`
 	Address      string       `json:"address"`
@@ -70,15 +69,15 @@
 // Op is the kind of a command.
 type Op string
 
-// The kinds of command.
+// The kinds of commands.
 const (
 	OpStart  Op = "launch"
 	OpStop   Op = "halt"
 	OpForget Op = "forget"
 )
 
-// Command tells a worker to start, stop or forget one attempt of a task. GraceS is
-// how many seconds a stopped task has to save its progress.
+// Command instructs a worker to start, stop or forget one attempt of a task. GraceS is the
+// time in seconds that a stopped task has to save its progress.
 type Command struct {
 	Op      Op       `json:"signal"`
 	Task    string   `json:"feather"`
@@ -86,22 +85,22 @@
 	GraceS  *float64 `json:"settle_s,omitempty"`
 }
 
-// HeartbeatReply is the leader's answer to a heartbeat (HTTP 200): its
-// fencing token and the commands for the worker.
+// HeartbeatReply is the leader's reply to a heartbeat (HTTP 200): its fencing token and
+// the commands for the worker.
 type HeartbeatReply struct {
 	FencingToken uint64    `json:"crest"`
 	Commands     []Command `json:"signals"`
 }
 
-// NotLeaderReply answers a heartbeat sent to a controller that is not the
-// leader (HTTP 421) and names the leader, when known.
+// NotLeaderReply is the reply to a heartbeat that was sent to a controller other than the
+// leader (HTTP 421). Leader is empty if the leader is not known.
 type NotLeaderReply struct {
 	Leader string `json:"heronry,omitempty"`
 }
 
-// CommandRequest sends commands to a worker directly, not in the reply to a
-// heartbeat. A worker of another incarnation, or one that has seen a higher fencing
-// token, rejects it (HTTP 409).
+// CommandRequest sends commands directly to a worker instead of in the reply to a
+// heartbeat. A worker with a different incarnation, or one that has seen a higher fencing
+// token, rejects the request (HTTP 409).
 type CommandRequest struct {
 	FencingToken uint64    `json:"crest"`
 	Incarnation  uint64    `json:"wading"`
