--- a/internal/config/checker.go
+++ b/internal/config/checker.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// Limits of what the file may hold; larger values are taken for mistakes.
+// Upper limits of the values in the settings file. Larger values can only be mistakes.
 const (
 	maxNumber  = 1e12
 	maxSeconds = 1e6
 )
 
-// KeyError says what is wrong with a key of the settings file.
+// KeyError is the error for a missing or invalid key of the settings file.
 type KeyError struct {
-	Key    string // dotted, for example cluster.workers.lease_s
-	Reason string // to be read after the key, for example "is missing"
+	Key    string // dotted path, for example cluster.workers.lease_s
+	Reason string // continues the sentence that starts with the key, for example "is missing"
 }
 
 // Error implements error.
 func (e *KeyError) Error() string { return e.Key + " " + e.Reason }
 
-// checker checks values and collects what is wrong with them, so that an operator
-// sees all of it at once. What its methods return counts only if err returns nil.
+// checker validates values and collects the errors, so that an operator sees all of them
+// at once. The values that its methods return may be used only if err returns nil.
 type checker struct {
 	errs []error
 }
@@ -33,7 +33,7 @@
 	c.errs = append(c.errs, &KeyError{Key: key, Reason: reason})
 }
 
-// err returns all that was found wrong, nil if nothing was.
+// err returns all collected errors joined, or nil if there are none.
 func (c *checker) err() error {
 	if len(c.errs) == 0 {
 		return nil
@@ -41,7 +41,7 @@
 	return fmt.Errorf("settings: %w", errors.Join(c.errs...))
 }
 
-// text checks that a value is there and is not empty.
+// text checks that a string is present and not empty.
 func (c *checker) text(key string, v *string) string {
 	if v == nil || *v == "" {
 		c.add(key, "is missing")
@@ -50,7 +50,7 @@
 	return *v
 }
 
-// address checks that a value has the form host:port.
+// address checks that a string has the form host:port.
 func (c *checker) address(key string, v *string) string {
 	address := c.text(key, v)
 	if address == "" {
@@ -62,7 +62,7 @@
 	return address
 }
 
-// number checks that a value is there and at least lowest.
+// number checks that a number is present, at least lowest and at most maxNumber.
 func (c *checker) number(key string, v *float64, lowest float64) float64 {
 	if v == nil {
 		c.add(key, "is missing")
@@ -75,7 +75,7 @@
 	return *v
 }
 
-// integer checks that a value is there and at least lowest.
+// integer checks that an integer is present and at least lowest.
 func (c *checker) integer(key string, v *int64, lowest int64) int64 {
 	if v == nil {
 		c.add(key, "is missing")
@@ -88,7 +88,8 @@
 	return *v
 }
 
-// seconds checks that a value is there and at least lowest, both in seconds.
+// seconds checks that a duration in seconds is present, at least lowest and at most
+// maxSeconds, and converts it.
 func (c *checker) seconds(key string, v *float64, lowest float64) time.Duration {
 	n := c.number(key, v, lowest)
 	if n > maxSeconds {
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,4 +1,4 @@
-// Package config reads and checks the settings file that the platform hands
-// over when a controller starts. Everything else in heronwick uses the checked
-// values, with the standard library's time types.
+// Package config reads and validates the settings file that the platform passes to a
+// controller at its start. All other packages use the validated Settings, in which
+// durations have the type time.Duration.
 package config
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -1,6 +1,6 @@
 package config
 
-// file mirrors the settings file. Pointers tell which keys are missing.
+// file has the structure of the settings file. A nil pointer means that the key is missing.
 type file struct {
 	Node     *string     `toml:"node"`
 	Location *string     `toml:"location"`
@@ -48,8 +48,8 @@
 	Share   float64 `toml:"share"`
 }
 
-// fileState has the key-value store's limits that hold now, and in Next those
-// that are announced, each of which may be missing.
+// fileState holds the current limits of the key-value store and, in Next, the announced
+// limits, any of which may be missing.
 type fileState struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -9,7 +9,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// The least values with which a controller can work.
+// The minimum values with which a controller can work.
 const (
 	minInterval         = 0.01 // seconds
 	minCloudRequestRate = 0.01
@@ -18,15 +18,15 @@
 	minMaxConnections   = 32
 )
 
-// The least limits of the key-value store that the records can be kept within.
+// The minimum limits of the key-value store that heronwick's records can comply with.
 const (
 	minStateRequestRate = 0.1
 	minValueKB          = 1
 	minTxnOps           = 4
 )
 
-// Load reads and checks the settings file at path. The error joins a *KeyError
-// for every key that is missing or wrong.
+// Load reads and validates the settings file at path. The error joins a *KeyError for
+// every missing or invalid key.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -35,8 +35,8 @@
 	return Parse(text)
 }
 
-// Parse checks the text of a settings file, as Load does. Unknown keys are
-// ignored.
+// Parse parses and validates the text of a settings file, with the same errors as Load.
+// It ignores unknown keys.
 func Parse(text []byte) (*Settings, error) {
 	var f file
 	if err := toml.Unmarshal(text, &f); err != nil {
@@ -61,7 +61,8 @@
 	return s, nil
 }
 
-// setAddresses sets who this controller is and where it and the services are.
+// setAddresses sets the name, the zone and the addresses of this controller, and the
+// addresses of the cloud and of the key-value store.
 func (s *Settings) setAddresses(c *checker, f *file) {
 	s.Node = c.text("node", f.Node)
 	s.Zone = c.text("location", f.Location)
@@ -89,9 +90,9 @@
 	s.MaxConnections = int(c.integer("cluster.machine_limits.max_connections", f.MaxConnections, minMaxConnections))
 }
 
-// setStateLimits sets the limits of the key-value store. Those that are announced
-// count from the start where they are lower, so that nothing depends on when they
-// come into force.
+// setStateLimits sets the limits of the key-value store. An announced limit that is lower
+// than the current one applies from the start, so that it does not matter when the
+// announced limits come into force.
 func (s *Settings) setStateLimits(c *checker, f *fileState) {
 	const key, nextKey = "cluster.state.", "cluster.state.next."
 	s.StateRequestRate = c.number(key+"rps", f.RPS, minStateRequestRate)
@@ -133,7 +134,7 @@
 	}
 }
 
-// checkSize checks that the file names as many controllers as the cluster has.
+// checkSize checks that the cluster size equals the number of seeds plus this controller.
 func (s *Settings) checkSize(c *checker, size *int64) {
 	const key = "cluster.size"
 	if n := c.integer(key, size, 1); n > 0 && int(n) != len(s.Peers)+1 {
@@ -141,7 +142,7 @@
 	}
 }
 
-// checkNodeNames checks that no two controllers have the same name.
+// checkNodeNames checks that the names of the controllers are unique.
 func (s *Settings) checkNodeNames(c *checker) {
 	seen := map[string]bool{s.Node: true}
 	for _, peer := range s.Peers {
@@ -175,5 +176,5 @@
 	}
 }
 
-// seconds converts a number of seconds.
+// seconds converts a number of seconds to a time.Duration.
 func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -2,42 +2,44 @@
 
 import "time"
 
-// Settings is the checked content of the settings file.
+// Settings contains the validated values of the settings file.
 type Settings struct {
 	Node       string // name of this controller
-	Zone       string // where it runs
-	Listen     string // host:port for users and workers
-	PeerListen string // host:port for the other controllers
+	Zone       string // zone in which this controller runs
+	Listen     string // host:port at which this controller serves users and workers
+	PeerListen string // host:port at which this controller serves the other controllers
 	Peers      []Peer // the other controllers
 	CloudAddr  string // host:port of the cloud
 	StateAddr  string // host:port of the key-value store
 
-	Zones      []string // of the cluster, at least one
-	Teams      []Team   // empty: any team may submit jobs, without limits
+	Zones      []string // zones of the cluster, at least one
+	Teams      []Team   // if empty, any team may submit jobs, without limits
 	Objectives []Objective
 
-	HeartbeatInterval time.Duration // how often a worker sends a heartbeat
-	LeaseDuration     time.Duration // how long a worker's lease lasts without a renewal
-	CancelTimeout     time.Duration // within which a cancelled job's tasks must be gone
+	HeartbeatInterval time.Duration // time between two heartbeats of a worker
+	LeaseDuration     time.Duration // duration of a worker's lease without a renewal
+	CancelTimeout     time.Duration // time within which the tasks of a cancelled job must be gone
 
-	// The limits of the key-value store: the lower of those that hold now and of
-	// those that are announced, which come into force at any moment without notice.
+	// The limits of the key-value store: for each, the lower of the current and the
+	// announced limit, since the announced limits can come into force at any time and
+	// without notice.
 
-	StateRequestRate float64 // requests a second
-	StateWriteRate   float64 // writes a second
+	StateRequestRate float64 // requests per second
+	StateWriteRate   float64 // writes per second
 	MaxValueBytes    int     // size of a value
 	MaxTxnOps        int     // operations in a transaction
 
-	CloudRequestRate float64       // requests a second that the cloud accepts
-	CloudListLag     time.Duration // by how much the cloud's list of machines usually lags
+	CloudRequestRate float64       // requests per second that the cloud accepts
+	CloudListLag     time.Duration // usual lag of the cloud's list of machines
 
-	Cores          int     // whole cores that the process may use at once
-	CoreShare      float64 // of a core's time that the process has
-	MemoryBytes    int64   // of memory that the process may use
-	MaxConnections int     // sockets that the process may have open
+	Cores          int     // number of cores that the process may use concurrently
+	CoreShare      float64 // processor time available to the process, in cores
+	MemoryBytes    int64   // memory that the process may use
+	MaxConnections int     // number of sockets that the process may have open
 
-	// DutyLease is the lease of single duties; 0: they are off. It is an operator's
-	// flag, not part of the file.
+	// DutyLease is the duration of the lease of single duties, or 0 if they are
+	// disabled. It comes from a command-line flag, not from the
+	// settings file.
 	DutyLease time.Duration
 }
 
@@ -45,11 +47,11 @@
 type Peer struct {
 	Node string
 	Zone string
-	Addr string // host:port for controllers
+	Addr string // host:port at which it serves other controllers
 }
 
-// Team has guaranteed resources (CPUs, GPUs) and limits on what its tasks may use
-// at any time (CPUsMax, GPUsMax); 0 means none.
+// Team has guaranteed resources (CPUs, GPUs) and limits on the resources that its tasks
+// may use at any time (CPUsMax, GPUsMax). 0 means no guarantee or no limit.
 type Team struct {
 	Name    string
 	CPUs    float64
@@ -58,27 +60,28 @@
 	GPUsMax float64
 }
 
-// Objective is a service level that the users expect: that a fraction of what is
-// measured takes no longer than a duration.
+// Objective is a service level objective: Fraction of the measured durations must not
+// exceed Within.
 type Objective struct {
-	Kind     string // what is measured, for example "finished" or "wait"
-	Class    string // of the jobs that it is measured on; empty: all
+	Kind     string // the measured duration, for example "finished" or "wait"
+	Class    string // class of the measured jobs; empty for all jobs
 	Within   time.Duration
-	Fraction float64 // 0 to 1
+	Fraction float64 // from 0 to 1
 }
 
-// unimpededCoreShare is the share of a core from which on a controller answers
-// its peers without delay, also while it takes over from another.
-const unimpededCoreShare = 0.15
+// fullSpeedCoreShare is the minimum share of a core with which a controller answers its
+// peers without delay, even while it takes over from another controller.
+const fullSpeedCoreShare = 0.15
 
-// maxTimeoutFactor bounds how long others wait for a slow controller.
+// maxTimeoutFactor bounds how much longer the other controllers wait for a slow one.
 const maxTimeoutFactor = 3
 
-// TimeoutFactor returns how many times longer than usual a controller with this share
-// of a core may be busy with much work at once, a takeover for example: 1 to 3.
+// TimeoutFactor returns the factor, from 1 to maxTimeoutFactor, by which the timeouts
+// between controllers are extended. Controllers with a small share of a core are busy for
+// longer with bursts of work, such as a takeover.
 func (s *Settings) TimeoutFactor() float64 {
 	if s.CoreShare <= 0 {
 		return 1
 	}
-	return min(maxTimeoutFactor, max(1, unimpededCoreShare/s.CoreShare))
+	return min(maxTimeoutFactor, max(1, fullSpeedCoreShare/s.CoreShare))
 }
