--- a/internal/autoscale/idle.go
+++ b/internal/autoscale/idle.go
@@ -19,7 +19,7 @@
 // IdleMachine is a machine without tasks.
 type IdleMachine struct {
 	Name  string
-	Since time.Time // the time at which the machine became idle
+	Since time.Time // time at which the machine became idle
 }
 
 // IdleReserve returns how many idle machines are kept instead of returned, given the
--- a/internal/autoscale/inventory.go
+++ b/internal/autoscale/inventory.go
@@ -22,7 +22,7 @@
 	firstSeen time.Time // when it was added to this inventory
 }
 
-// refusal is the backoff of a pool in which the cloud could not provide machines.
+// refusal is the backoff state of a pool after the cloud has not filled a rent request.
 type refusal struct {
 	until   time.Time // no rent request is sent before this time
 	backoff time.Duration
--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxRentalsPerPlan bounds the number of machines that one plan rents.
+	// maxRentalsPerPlan bounds the number of machines to rent in one plan.
 	maxRentalsPerPlan = 100
 	// reserveDivisor sets the size of the reserve: one CPU in this many is kept free.
 	reserveDivisor = 4
@@ -32,7 +32,7 @@
 type plannedMachine struct {
 	pool placement.Pool
 	free placement.Resources
-	rent bool // to be rented, not booting yet
+	rent bool // true if the machine is to be rented, false if it is booting
 }
 
 // accepts reports whether one more task of the demand may be packed onto the machine.
--- a/internal/autoscale/returner.go
+++ b/internal/autoscale/returner.go
@@ -43,15 +43,15 @@
 // ReturnActions records return intents before the return requests are sent, and sends the
 // requests. It is implemented by *duty.Actions.
 type ReturnActions interface {
-	RecordReturn(ctx context.Context, id duty.ID, fence state.FencingCondition, machines []string, why string) (duty.ReturnIntent, error)
+	RecordReturn(ctx context.Context, id duty.ID, fence state.FencingCondition, machines []string, reason string) (duty.ReturnIntent, error)
 	SendReturn(ctx context.Context, intent duty.ReturnIntent) error
 	SendUnrecordedReturn(ctx context.Context, id duty.ID, machines []string) error
 }
 
 // Return is a set of machines to return together.
 type Return struct {
-	Duty     duty.ID                // under which the machines are returned
-	Fence    state.FencingCondition // under which the intent is recorded
+	Duty     duty.ID                // the duty under which the machines are returned
+	Fence    state.FencingCondition // the condition under which the intent is recorded
 	Machines []string
 	Reason   ReturnReason
 }
@@ -96,13 +96,13 @@
 // unavailable, so the machine of an overdue task is returned without an intent if none
 // can be recorded.
 func (r *Returner) record(ctx context.Context, ret Return) (send func(context.Context) error, err error) {
-	recording, overdue := ctx, ret.Reason == ReasonOverdueTask
+	recordCtx, overdue := ctx, ret.Reason == ReasonOverdueTask
 	if overdue {
 		var cancel context.CancelFunc
-		recording, cancel = context.WithTimeout(ctx, overdueRecordTimeout)
+		recordCtx, cancel = context.WithTimeout(ctx, overdueRecordTimeout)
 		defer cancel()
 	}
-	intent, err := r.Actions.RecordReturn(recording, ret.Duty, ret.Fence, ret.Machines, string(ret.Reason))
+	intent, err := r.Actions.RecordReturn(recordCtx, ret.Duty, ret.Fence, ret.Machines, string(ret.Reason))
 	if err != nil && overdue {
 		return func(ctx context.Context) error { return r.Actions.SendUnrecordedReturn(ctx, ret.Duty, ret.Machines) }, nil
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -73,7 +73,7 @@
 // peers without delay, even while it takes over from another controller.
 const fullSpeedCoreShare = 0.15
 
-// maxTimeoutFactor bounds how much longer the other controllers wait for a slow one.
+// maxTimeoutFactor bounds how much longer controllers wait for a slow controller.
 const maxTimeoutFactor = 3
 
 // TimeoutFactor returns the factor, from 1 to maxTimeoutFactor, by which the timeouts
--- a/wire/operator.go
+++ b/wire/operator.go
@@ -79,7 +79,7 @@
 type RentalIntent struct {
 	Key      string   `json:"key"`
 	Token    uint64   `json:"token"`
-	Requests []string `json:"requests"`
+	Requests []string `json:"requests"` // ids of the rent requests
 }
 
 // DutyEvent is a change of a duty or of an intent. Count is the number of machines or
