--- a/internal/dutyreport/page.go
+++ b/internal/dutyreport/page.go
@@ -11,14 +11,14 @@
 	"heronwick/wire"
 )
 
-// summaryRow is a row of the page's table: how long the events of one kind of one duty
-// took.
+// summaryRow is a row of the page's table: the durations of the events of one kind of one
+// duty.
 type summaryRow struct {
 	Duty, Kind string
 	Quantiles
 }
 
-// summarize groups events by duty and kind, in this order.
+// summarize returns a row for each duty and kind of event, sorted by duty and then by kind.
 func summarize(events []wire.DutyEvent) []summaryRow {
 	type group struct{ duty, kind string }
 	seconds := map[group][]float64{}
@@ -34,7 +34,7 @@
 	return rows
 }
 
-// countNodes returns how many nodes the events come from.
+// countNodes returns the number of nodes that the events come from.
 func countNodes(events []wire.DutyEvent) int {
 	nodes := map[string]bool{}
 	for _, event := range events {
@@ -43,10 +43,10 @@
 	return len(nodes)
 }
 
-// pageContent is what the page's template shows.
+// pageContent is the data of the page's template.
 type pageContent struct {
-	Events, Nodes int    // counts
-	From, To      string // RFC 3339 times; "" if there are no events
+	Events, Nodes int    // number of events, and of nodes that they come from
+	From, To      string // RFC 3339 times of the first and last event; "" if there are no events
 	Plots         []template.HTML
 	Rows          []summaryRow
 }
@@ -64,17 +64,17 @@
 </body></html>
 `))
 
-// WritePage writes an HTML page of events in any order: three plots, and a table by duty and
-// kind of event.
+// WritePage writes an HTML page about events, which may be in any order. The page has three
+// plots, and a table of the events by duty and kind.
 func WritePage(w io.Writer, events []wire.DutyEvent) error {
-	line := newTimeline(events)
-	plots, err := line.plots()
+	tl := newTimeline(events)
+	plots, err := tl.plots()
 	if err != nil {
 		return err
 	}
-	content := pageContent{Events: len(events), Nodes: countNodes(events), Plots: plots, Rows: summarize(line.events)}
+	content := pageContent{Events: len(events), Nodes: countNodes(events), Plots: plots, Rows: summarize(tl.events)}
 	if len(events) > 0 {
-		content.From, content.To = line.began.UTC().Format(time.RFC3339), line.ended.UTC().Format(time.RFC3339)
+		content.From, content.To = tl.began.UTC().Format(time.RFC3339), tl.ended.UTC().Format(time.RFC3339)
 	}
 	if err := page.Execute(w, content); err != nil {
 		return fmt.Errorf("writing the page: %w", err)
--- a/internal/dutyreport/plots.go
+++ b/internal/dutyreport/plots.go
@@ -24,67 +24,69 @@
 const (
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 8 * vg.Centimeter
-	// legendFraction is the room for the legend at the right, as a fraction of the span.
+	// legendFraction is the width that is left free for the legend at the right, as a fraction
+	// of the X range that the events span.
 	legendFraction = 0.25
 )
 
-// timeline is a set of events, the oldest first, over the time that they span.
+// timeline is a list of events, oldest first, with the time range that they span.
 type timeline struct {
 	events       []wire.DutyEvent
-	began, ended time.Time // of the first and the last event; zero if there is none
+	began, ended time.Time // times of the first and the last event; zero if there are no events
 }
 
-// newTimeline sorts events by time.
+// newTimeline returns the timeline of events, which it sorts by time.
 func newTimeline(events []wire.DutyEvent) timeline {
-	line := timeline{events: slices.SortedFunc(slices.Values(events), func(a, b wire.DutyEvent) int { return a.At.Compare(b.At) })}
-	if count := len(line.events); count > 0 {
-		line.began, line.ended = line.events[0].At, line.events[count-1].At
+	tl := timeline{events: slices.SortedFunc(slices.Values(events), func(a, b wire.DutyEvent) int { return a.At.Compare(b.At) })}
+	if count := len(tl.events); count > 0 {
+		tl.began, tl.ended = tl.events[0].At, tl.events[count-1].At
 	}
-	return line
+	return tl
 }
 
 // span returns the seconds between the first and the last event.
-func (l timeline) span() float64 { return l.ended.Sub(l.began).Seconds() }
+func (tl timeline) span() float64 { return tl.ended.Sub(tl.began).Seconds() }
 
 // offset returns the seconds between the first event and the given one.
-func (l timeline) offset(event wire.DutyEvent) float64 { return event.At.Sub(l.began).Seconds() }
+func (tl timeline) offset(event wire.DutyEvent) float64 { return event.At.Sub(tl.began).Seconds() }
 
-// newPlot returns an empty plot over the timeline, with unit as the label of its Y axis.
-func (l timeline) newPlot(title, unit string) *plot.Plot {
+// newPlot returns an empty plot whose X axis covers the timeline and whose Y axis has the
+// label unit.
+func (tl timeline) newPlot(title, unit string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text = title
 	p.X.Label.Text, p.Y.Label.Text = "seconds since the first event", unit
-	p.X.Min, p.X.Max = 0, max(1, l.span())*(1+legendFraction)
+	p.X.Min, p.X.Max = 0, max(1, tl.span())*(1+legendFraction)
 	p.Y.Min, p.Y.Max = 0, 1
 	p.Legend.Top = true
 	return p
 }
 
 // plots returns the plots of the page as SVG elements.
-func (l timeline) plots() ([]template.HTML, error) {
-	handovers, err := l.handoverPlot()
+func (tl timeline) plots() ([]template.HTML, error) {
+	handovers, err := tl.handoverPlot()
 	if err != nil {
 		return nil, err
 	}
-	refusals, err := l.countPlot("Refusals, and returns without a record", duty.EventRefused, duty.EventUnrecorded)
+	refusals, err := tl.countPlot("Refusals, and returns without an intent", duty.EventRefused, duty.EventUnrecorded)
 	if err != nil {
 		return nil, err
 	}
-	intents, err := l.countPlot("Intents", duty.EventReturnRecorded, duty.EventReturned, duty.EventRentalRecorded, duty.EventRented, duty.EventClosed)
+	intents, err := tl.countPlot("Intents", duty.EventReturnRecorded, duty.EventReturned, duty.EventRentalRecorded, duty.EventRented, duty.EventClosed)
 	if err != nil {
 		return nil, err
 	}
 	return []template.HTML{handovers, refusals, intents}, nil
 }
 
-// handoverPlot shows over time how long it took to acquire each duty.
-func (l timeline) handoverPlot() (template.HTML, error) {
-	p := l.newPlot("From being due to being held", "seconds")
+// handoverPlot returns a plot of how long controllers waited to acquire each duty, over time.
+func (tl timeline) handoverPlot() (template.HTML, error) {
+	p := tl.newPlot("Time to acquire a duty", "seconds")
 	pointsByName := map[string]plotter.XYs{}
-	for _, event := range l.events {
+	for _, event := range tl.events {
 		if event.Kind == string(duty.EventAcquired) {
 			name, _, _ := strings.Cut(event.Duty, "/")
-			pointsByName[name] = append(pointsByName[name], plotter.XY{X: l.offset(event), Y: event.TookS})
+			pointsByName[name] = append(pointsByName[name], plotter.XY{X: tl.offset(event), Y: event.TookS})
 		}
 	}
 	for i, name := range slices.Sorted(maps.Keys(pointsByName)) {
@@ -99,17 +101,17 @@
 	return renderSVG(p)
 }
 
-// countPlot shows the cumulative count of each kind of event over time.
-func (l timeline) countPlot(title string, kinds ...duty.EventKind) (template.HTML, error) {
-	p := l.newPlot(title, "events")
+// countPlot returns a plot of the cumulative count of each kind of event over time.
+func (tl timeline) countPlot(title string, kinds ...duty.EventKind) (template.HTML, error) {
+	p := tl.newPlot(title, "events")
 	for i, kind := range kinds {
 		points := plotter.XYs{{}}
-		for _, event := range l.events {
+		for _, event := range tl.events {
 			if event.Kind == string(kind) {
-				points = append(points, plotter.XY{X: l.offset(event), Y: float64(len(points))})
+				points = append(points, plotter.XY{X: tl.offset(event), Y: float64(len(points))})
 			}
 		}
-		points = append(points, plotter.XY{X: l.span(), Y: float64(len(points) - 1)})
+		points = append(points, plotter.XY{X: tl.span(), Y: float64(len(points) - 1)})
 		line, err := plotter.NewLine(points)
 		if err != nil {
 			return "", fmt.Errorf("plotting events of kind %s: %w", kind, err)
@@ -121,7 +123,8 @@
 	return renderSVG(p)
 }
 
-// renderSVG returns a plot as an SVG element, without the XML header.
+// renderSVG returns a plot as an SVG element without an XML header, so that it can be embedded
+// in HTML.
 func renderSVG(p *plot.Plot) (template.HTML, error) {
 	canvas := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(canvas))
