--- a/internal/duty/acquire.go
+++ b/internal/duty/acquire.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// handoverCooldown is how long a controller does not acquire a duty that it has handed over,
-// so that another one can.
+// handoverCooldown is how long a controller waits before it may acquire a duty again that it
+// has handed over, so that another controller can acquire it first.
 const handoverCooldown = 2 * time.Second
 
 // HandOver resigns a duty, so that another controller acquires it, or this one does under a
--- a/internal/duty/cache.go
+++ b/internal/duty/cache.go
@@ -43,8 +43,8 @@
 	return &RecordCache{log: log, entries: map[string]entry{}, holders: map[ID]holder{}, sessions: map[string]uint64{}, machines: map[string]string{}}
 }
 
-// Replace replaces the entries with a listing of all keys as of a revision. Entries that are
-// newer than the revision stay.
+// Replace replaces the entries with a listing of all keys as of a revision. It keeps entries
+// that are newer than the listing.
 func (c *RecordCache) Replace(items []wire.Item, revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/duty/lease.go
+++ b/internal/duty/lease.go
@@ -7,7 +7,7 @@
 )
 
 // MinLease is the shortest lease that can be renewed in time: a renewal may take two
-// requests to the key-value store, each as long as its timeout.
+// requests to the key-value store, each of which may last until its timeout.
 const MinLease = 4 * time.Second
 
 // MaxLease is the longest lease that the key-value store grants.
