--- a/internal/checkpoint/doc.go
+++ b/internal/checkpoint/doc.go
@@ -1,15 +1,15 @@
-// Package checkpoint records what may be on a scheduler's machines in the
-// consensus-backed key-value store, before any worker can be commanded to start it.
+// Package checkpoint records the attempts that may be on a scheduler's machines in the
+// consensus-backed key-value store, before any worker is sent a command to start them.
 //
-// The records are in two kinds of keys. A bucket holds the whole records of some
-// dozens of machines: it is the checkpoint. A journal is the write-ahead log: it
-// holds, of any machine, the attempts that its bucket does not hold yet. New
-// placements go to a journal, all that have gathered in one write; most tasks are
-// over before their journal is written again and never come into a bucket. When the
-// journals are full, the buckets of the machines in the fullest one are written.
+// The records are stored under two kinds of keys. A bucket is a checkpoint: it contains
+// the complete records of some dozens of machines. A journal is a write-ahead log: it
+// contains the attempts on any machine that are not yet in the machine's bucket. All
+// pending placements are written to a journal in one write. Most tasks have ended before
+// their journal is written again, so their attempts are never written to a bucket. When
+// the journals are full, the buckets of the machines in the fullest journal are written.
 //
-// Table says which buckets and journals there are and what belongs on each; Writer
-// writes them; ValueLimit is how large they may be. A Machine is a machine of the
-// fleet with what is known of its records, and Scheduler is who owns them. All of them
-// share the scheduler's lock.
+// Table keeps track of the buckets and journals and their content. Writer writes them.
+// ValueLimit is their maximum size. Machine is a machine of the fleet with the state of
+// its records, and Scheduler is the interface to the scheduler that owns the machines.
+// The scheduler's lock guards all of them.
 package checkpoint
--- a/internal/checkpoint/scheduler.go
+++ b/internal/checkpoint/scheduler.go
@@ -12,42 +12,47 @@
 	"heronwick/internal/state"
 )
 
-// Scheduler is the scheduler whose machines are recorded. A Writer calls it with the
-// Options' Lock held.
+// Scheduler is the scheduler whose machines are recorded. A Writer calls its methods
+// with Options.Lock held.
 type Scheduler interface {
 	// Machines returns the scheduler's machines.
 	Machines() iter.Seq[*Machine]
-	// MachineCount is how many those are.
+	// MachineCount returns the number of machines.
 	MachineCount() int
-	// Owns reports whether a machine is still the scheduler's.
+	// Owns reports whether the scheduler still owns a machine.
 	Owns(m *Machine) bool
-	// Returning reports whether a machine is being returned: no bucket is written for it.
+	// Returning reports whether a machine is being returned to the cloud. No bucket is
+	// written for such a machine.
 	Returning(m *Machine) bool
 
-	// Fence is the condition under which records are written: the epoch that the
-	// scheduler acts under.
+	// Fence returns the condition that fences the writes of records: the store must have
+	// the epoch that the scheduler acts under.
 	Fence() state.FencingCondition
-	// MemberSince is since which epoch the scheduler's node is a member.
+	// MemberSince returns the token of the epoch in which the membership of the
+	// scheduler's node began.
 	MemberSince() uint64
 	// UniqueWriteID returns a string that no other write contains.
 	UniqueWriteID() string
-	// CleanupGuard returns the right to remove the scheduler's records, an error if
-	// another controller has it or nobody.
+	// CleanupGuard returns the guard for removing the scheduler's records. It returns an
+	// error if another controller holds the cleanup duty, or none does.
 	CleanupGuard() (duty.Guard, error)
 
-	// Job returns the record of a job that is known to be active, else nil.
+	// Job returns the record of a job, or nil if the job is not known to be active.
 	Job(id string) *job.Record
-	// DropStaleHostedAttempts removes hosted attempts that must not be recorded any more.
+	// DropStaleHostedAttempts removes hosted attempts on the machine that must no longer
+	// be recorded.
 	DropStaleHostedAttempts(m *Machine)
-	// AttemptsRecorded tells that attempts on the machine are recorded: they may start.
+	// AttemptsRecorded is called when attempts on the machine have been recorded. Their
+	// starts may be sent now.
 	AttemptsRecorded(m *Machine)
-	// DropUnsentAttempts tells that a job is over: none of its attempts on these machines
-	// that was not recorded may start.
+	// DropUnsentAttempts is called when a write failed because a job has ended. It removes
+	// the attempts of the job on these machines that were never sent to a worker: those
+	// that are not recorded must not start.
 	DropUnsentAttempts(job string, on iter.Seq[*Machine])
 }
 
-// Committer writes to the store; several writes may be committed together. It
-// returns the version of the commit.
+// Committer commits writes to the store. It may commit several writes in one
+// transaction, and returns the version of the commit.
 type Committer interface {
 	Commit(ctx context.Context, write state.Write) (uint64, error)
 }
@@ -58,12 +63,12 @@
 	Settings  *config.Settings
 	Limit     *ValueLimit
 	Scheduler Scheduler
-	// Lock guards the Writer, the ValueLimit and the Scheduler. The Writer takes it when a
-	// write has ended; the callers of its methods hold it.
+	// Lock guards the Writer, the ValueLimit and the Scheduler. The Writer acquires it
+	// when a write has completed. Callers of the Writer's methods hold it.
 	Lock      sync.Locker
 	Committer Committer
 	Reader    state.Reader
-	Go        func(f func(ctx context.Context)) // starts work that ends with the scheduler
-	Wake      func()                            // has Commit called soon; needs no lock
+	Go        func(f func(ctx context.Context)) // runs f in the background; its context ends with the scheduler
+	Wake      func()                            // causes Commit to be called soon; may be called without Lock
 	Log       *slog.Logger
 }
