--- a/internal/checkpoint/bucket.go
+++ b/internal/checkpoint/bucket.go
@@ -28,8 +28,8 @@
 	// write of this bucket would leave no record of the attempts that may be on the
 	// machine.
 	retained map[string]fleet.Record
-	// journaled, set only for a journal, are the machines with attempts that may be
-	// recorded in this journal only.
+	// journaled contains the machines with attempts that may be recorded only here, if
+	// the bucket is a journal.
 	journaled map[*Machine]bool
 }
 
--- a/internal/checkpoint/writebucket.go
+++ b/internal/checkpoint/writebucket.go
@@ -9,8 +9,8 @@
 )
 
 // writeBucket writes a bucket, fenced by the epoch and by the bucket's version. Machines
-// whose records do not fit are moved to other buckets, which are written separately. A
-// bucket that is oversized is written only after those.
+// whose records do not fit are moved to other buckets, which are written separately. An
+// oversized bucket is written only after those.
 func (w *Writer) writeBucket(b *Bucket, priority state.Priority) {
 	for _, m := range b.machines {
 		w.scheduler.DropStaleHostedAttempts(m)
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -38,9 +38,9 @@
 	PlacedAt      time.Time       // when the attempt was placed, restored from a record or found
 	RunningSince  time.Time       // when a heartbeat first showed it running; zero before that
 
-	// RestoredFromRecord reports whether the attempt was read from a record at a takeover. Its
-	// start is not sent again: the first heartbeat under the new fencing token shows
-	// whether the attempt is on the machine.
+	// RestoredFromRecord reports whether the attempt was read from a record at a
+	// takeover. Its start is not sent again: the first heartbeat under the new fencing
+	// token shows whether the attempt is on the machine.
 	RestoredFromRecord bool
 
 	// CountedInUsage reports whether the scheduler counts the attempt in the usage of
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -104,13 +104,13 @@
 	return a.State == "" && a.Recorded && !a.Stop && !a.RestoredFromRecord && a.incarnation == m.Incarnation
 }
 
-// maxExitedAttempts is the number of exited attempts above which the worker needs a
-// higher fencing token: those that it cannot forget before stay in its heartbeats.
+// maxExitedAttempts is the maximum number of exited attempts that the worker cannot
+// forget until it has seen a higher fencing token. All of them stay in its heartbeats.
 const maxExitedAttempts = 30
 
 // NeedsHigherFencingToken reports whether the worker must see a higher token than this
-// one: either an unanswered start under this token or a later one could still be
-// executed, or the worker has too many exited attempts that it cannot forget before.
+// one: either it may still execute a start that got no response, or it has too many
+// exited attempts that it cannot forget until then.
 func (m *Machine) NeedsHigherFencingToken(token uint64) bool {
 	unforgotten := 0
 	for _, a := range m.Attempts.All() {
