--- a/internal/ownership/transfers.go
+++ b/internal/ownership/transfers.go
@@ -51,7 +51,7 @@
 func (t *Transfers) MovingCount() int { return len(t.moving) }
 
 // Release adds a released machine. It must be announced, so that no other controller
-// takes the machine for one that still exists.
+// assumes that the machine still exists.
 func (t *Transfers) Release(machine string) { t.released = append(t.released, machine) }
 
 // Unannounced returns the released machines whose announcement has not been confirmed.
--- a/internal/ownership/transfers_test.go
+++ b/internal/ownership/transfers_test.go
@@ -10,8 +10,8 @@
 )
 
 // Released machines that did not fit into one write, or whose write failed, are announced
-// by a later write. A controller that misses an announcement may take the machine for one
-// that still exists.
+// by a later write. A controller that misses an announcement may assume that the machine
+// still exists.
 func TestEveryReleasedMachineIsAnnounced(t *testing.T) {
 	var transfers Transfers
 	for _, name := range []string{"m1", "m2", "m3"} {
--- a/internal/queue/job.go
+++ b/internal/queue/job.go
@@ -29,7 +29,7 @@
 
 	DominantShare float64 // fraction of a machine that a task takes, see dominantShare
 	AcceptedAt    time.Time
-	Objectives    []time.Duration // wanted times to completion, counted from EligibleAt
+	Objectives    []time.Duration // target times to completion, counted from EligibleAt
 
 	// Ready, EligibleAt, EffectivePriority and Deadline are derived from the
 	// dependency graph, see SetReadiness.
--- a/internal/queue/order.go
+++ b/internal/queue/order.go
@@ -103,8 +103,8 @@
 }
 
 // Sort sorts jobs in place into the order in which they are served, and returns
-// their entries in the same order. Jobs whose urgency is starved or higher are
-// ordered by age, oldest first, instead of by remaining work.
+// their entries in the same order. Jobs that are starved or more urgent are ordered by
+// age, oldest first, instead of by remaining work.
 func Sort(jobs []*Job, teams *Teams, now time.Time) []Entry {
 	entries := make([]Entry, len(jobs))
 	for i, j := range jobs {
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -17,7 +17,7 @@
 	List(ctx context.Context, priority state.Priority, prefix string) (state.Listing, error)
 }
 
-// Jobs provides the records of active jobs, the outcomes of jobs that are over, and the
+// Jobs provides the records of active jobs, the outcomes of ended jobs, and the
 // tasks that are done.
 type Jobs interface {
 	Active(id string) *job.Record
@@ -29,8 +29,8 @@
 type Records struct {
 	Buckets []Bucket
 	Done    []job.DoneBucket
-	// Outcomes holds the outcomes of those jobs that are over although a bucket still
-	// contains attempts of their tasks.
+	// Outcomes holds, by job ID, the outcomes of the ended jobs of which a bucket still
+	// contains attempts.
 	Outcomes map[string]job.Outcome
 }
 
@@ -119,7 +119,7 @@
 	return inactive
 }
 
-// resolve looks up the jobs and returns the outcomes of those that are over.
+// resolve looks up the jobs and returns the outcomes of those that have ended.
 func resolve(ctx context.Context, jobs Jobs, ids map[string]bool) (map[string]job.Outcome, error) {
 	var mu sync.Mutex
 	outcomes := map[string]job.Outcome{}
--- a/internal/remote/doc.go
+++ b/internal/remote/doc.go
@@ -6,7 +6,7 @@
 // task on its own machines. The owner decides on further attempts and records which
 // tasks are done; the host records which attempts may be on its machines and sends
 // commands to their workers. The owner settles its remote attempts by asking their
-// hosts for the attempts' status.
+// hosts for the attempts' states.
 //
 // The types are not safe for concurrent use unless documented otherwise: the lock of
 // the scheduler that owns them guards them.
--- a/internal/remote/settle.go
+++ b/internal/remote/settle.go
@@ -8,7 +8,7 @@
 const maxAttemptsPerSettleRequest = 8192
 
 // SettleRequests collects the requests by which a controller asks the hosts of its
-// remote attempts for the attempts' status. A host gets several requests if its
+// remote attempts for the attempts' states. A host gets several requests if its
 // attempts do not fit into one.
 type SettleRequests struct {
 	node   string
@@ -26,7 +26,7 @@
 func (r *SettleRequests) ByHost() map[string][]*peerpb.SettleRequest { return r.byHost }
 
 // Add adds an attempt to a request to its host. If the attempt has not exited, the
-// request asks for its status. If it has exited and its end is recorded, the request
+// request asks for its state. If it has exited and its end is recorded, the request
 // reports it as handled. If it has exited but its end is not recorded yet, there is
 // nothing to ask or report, and the attempt is left out.
 func (r *SettleRequests) Add(a *Attempt, recorded bool) {
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -34,7 +34,8 @@
 		return
 	}
 	if a.Index >= queued.Record.Job.Tasks || queued.Done.Has(a.Index) || queued.HasAttempt(a.Index) {
-		// The task is done, or another attempt of it may be running: stop this one.
+		// The job has no such task, the task is done, or another attempt of it may be
+		// running: stop this one.
 		a.Stop = true
 	}
 	s.countAttemptLocked(m.Zone, a)
@@ -92,7 +93,7 @@
 // scheduler's machines: first its consequences for the machine, then those for the job.
 func (s *Scheduler) handleAttemptExitLocked(m *machine, a *fleet.Attempt) {
 	now := time.Now()
-	s.log.Debug("exited", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "why", a.ExitReason, "since_placed", now.Sub(a.PlacedAt))
+	s.log.Debug("exited", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "reason", a.ExitReason, "since_placed", now.Sub(a.PlacedAt))
 	if a.ExitReason == wire.ExitError {
 		s.handleTaskFailureLocked(m, s.jobOf(a.Job), a, now)
 	}
@@ -127,7 +128,7 @@
 	switch a.ExitReason {
 	case wire.ExitStopped, wire.ExitDone, wire.ExitError, wire.ExitPeerLost, wire.ExitGangIncomplete:
 	default:
-		s.log.Info("start refused", "task", a.Task, "attempt", a.Attempt, "why", a.ExitReason)
+		s.log.Info("start refused", "task", a.Task, "attempt", a.Attempt, "reason", a.ExitReason)
 		queued.NotBefore = now.Add(refusedStartDelay)
 	}
 	s.uncountAttemptLocked(a)
--- a/internal/scheduler/checkpoints.go
+++ b/internal/scheduler/checkpoints.go
@@ -33,13 +33,13 @@
 	s.checkpoints.Commit(pending)
 }
 
-// tidyInterval is how often outdated records are removed from the buckets. Nothing
-// waits for it.
-const tidyInterval = 10 * time.Second
+// rewriteBucketsInterval is how often outdated records are removed from the buckets.
+// Nothing waits for that.
+const rewriteBucketsInterval = 10 * time.Second
 
-// tidyRecordsLocked removes the records of machines that the scheduler no longer owns
-// from the store.
-func (s *Scheduler) tidyRecordsLocked(now time.Time) {
+// rewriteStaleBucketsLocked removes from the store the records of machines that the
+// scheduler no longer owns.
+func (s *Scheduler) rewriteStaleBucketsLocked(now time.Time) {
 	if s.loaded && s.currentLocked() {
 		s.checkpoints.RewriteStaleBuckets(now)
 	}
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -57,7 +57,7 @@
 		defer s.mu.Unlock()
 		m.commandPending = false
 		m.DirectRequestDone(req, err == nil || errors.Is(err, fleet.ErrNoSocket))
-		if !s.noteAnswerLocked(m, err) {
+		if !s.recordAnswerLocked(m, err) {
 			m.commandQueued = false
 			return
 		}
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -37,7 +37,7 @@
 }
 
 // leadsLocked reports whether this controller leads in the scheduler's epoch, which
-// may be older than the cluster's.
+// may be older than the cluster's. It is false until the records have been read.
 func (s *Scheduler) leadsLocked() bool { return s.loaded && s.epoch.Leader == s.opts.Node }
 
 // followEpochLocked compares the scheduler's jobs and machines with the current epoch
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -55,7 +55,7 @@
 // findMachineForGangTaskLocked finds a machine for a gang's next task, preferably one
 // that holds its image. It returns nil if there is none.
 func (s *Scheduler) findMachineForGangTaskLocked(queued *queue.Job, now time.Time) *machine {
-	const guaranteed = false // matters only for services, which may preempt other tasks here
+	const guaranteed = false // used only for services, for which tasks may be preempted
 	if m, _ := s.findWithImageLocked(queued, now, guaranteed); m != nil {
 		return m
 	}
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -111,7 +111,7 @@
 		if len(batch.machines) == 0 {
 			return
 		}
-		s.log.Info("handing over machines", "to", node, "count", len(batch.machines), "first", batch.machines[0].Name)
+		s.log.Info("handing over machines", "peer", node, "count", len(batch.machines), "first", batch.machines[0].Name)
 		s.spawn(func(ctx context.Context) { s.sendHandover(ctx, node, batch) })
 	}
 }
@@ -146,7 +146,7 @@
 func (s *Scheduler) sendHandover(ctx context.Context, node string, batch handoverBatch) {
 	err := s.writeTransfer(ctx, node, batch.records, state.Placement)
 	if err != nil {
-		s.log.Info("failed to hand over machines", "to", node, "err", err)
+		s.log.Info("failed to hand over machines", "peer", node, "err", err)
 	}
 	var conflict *state.Conflict
 	refused := errors.As(err, &conflict) || err != nil && ctx.Err() == nil
--- a/internal/scheduler/hosting.go
+++ b/internal/scheduler/hosting.go
@@ -19,7 +19,7 @@
 
 // Place places tasks of another controller's jobs on this scheduler's machines if there
 // is room. Instead of placing tasks on an idle machine, it hands the machine over to
-// that controller.
+// that controller, unless the controller is overloaded.
 func (s *Scheduler) Place(req *peerpb.PlaceRequest) *peerpb.PlaceReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,7 +54,7 @@
 // fill in.
 type jobRequest struct {
 	from       string // the controller that owns the job
-	overloaded bool   // whether that controller is overloaded: then it is handed no machines
+	overloaded bool   // whether that controller is overloaded: then it is handed machines only for gangs
 	record     *job.Record
 	job        *queue.Job
 	wanted     *peerpb.Wanted
--- a/internal/scheduler/loop.go
+++ b/internal/scheduler/loop.go
@@ -41,7 +41,7 @@
 // maintenance holds when the less frequent steps of tick last ran. Only the loop uses
 // it.
 type maintenance struct {
-	logged, tidied, summarized, returnsClosed time.Time
+	logged, bucketsRewritten, summarized, returnsClosed time.Time
 }
 
 // tick does the periodic work: it checks the machines, writes records that can be
@@ -63,9 +63,9 @@
 		s.maintenance.returnsClosed = now
 		s.closeReturnsLocked()
 	}
-	if now.Sub(s.maintenance.tidied) > tidyInterval {
-		s.maintenance.tidied = now
-		s.tidyRecordsLocked(now)
+	if now.Sub(s.maintenance.bucketsRewritten) > rewriteBucketsInterval {
+		s.maintenance.bucketsRewritten = now
+		s.rewriteStaleBucketsLocked(now)
 	}
 	if now.Sub(s.maintenance.logged) > logLoadInterval {
 		s.maintenance.logged = now
--- a/internal/scheduler/machinewatch.go
+++ b/internal/scheduler/machinewatch.go
@@ -91,13 +91,13 @@
 // leaseExpiryLocked returns the time by which the lease of the machine's worker has
 // certainly expired. ok is false if another controller may still answer the worker.
 func (s *Scheduler) leaseExpiryLocked(m *machine) (expiry time.Time, ok bool) {
-	var fenced time.Time
+	var fencedAt time.Time
 	if m.fenceToken > 0 {
-		if fenced, ok = s.opts.Authority.FencedSince(m.fenceToken); !ok {
+		if fencedAt, ok = s.opts.Authority.FencedSince(m.fenceToken); !ok {
 			return time.Time{}, false
 		}
 	}
-	return s.detector.LeaseExpiry(&m.Worker, fenced), true
+	return s.detector.LeaseExpiry(&m.Worker, fencedAt), true
 }
 
 // returnReasonLocked returns the reason to return a machine to the cloud, or
--- a/internal/scheduler/options.go
+++ b/internal/scheduler/options.go
@@ -142,10 +142,10 @@
 	PlaceRequests *remote.RequestHistory
 	// Resign makes this controller step down as leader.
 	Resign func(ctx context.Context)
-	// WorkersAtPeers returns how many workers have recently sent their heartbeats to a
-	// peer instead of this controller.
+	// WorkersAtPeers returns the largest number of workers, over the peers, that have
+	// recently sent their heartbeats to the peer instead of this controller.
 	WorkersAtPeers func() int
-	// Latency returns how long goroutines recently waited for a processor. It may be
-	// nil; then the scheduler takes no account of that.
+	// Latency returns how long goroutines recently waited for a processor. It is nil if
+	// that is not measured.
 	Latency func() time.Duration
 }
--- a/internal/scheduler/pass.go
+++ b/internal/scheduler/pass.go
@@ -8,10 +8,10 @@
 	"heronwick/wire"
 )
 
-// scheduleLocked places pending tasks. Jobs are served by effective priority; within
-// one, teams within their guarantee come first, then jobs that can still be done in
-// time, those with the least remaining work first. A job that finds no room does not
-// block the jobs after it.
+// scheduleLocked places pending tasks. Jobs are served by effective priority. Among jobs
+// of equal priority, those of teams within their guarantee come first, then those that
+// can still be done in time, and then those with the least remaining work; see
+// queue.Sort. A job that finds no room does not block the jobs after it.
 func (s *Scheduler) scheduleLocked(now time.Time) {
 	if !s.loaded || !s.permitted() {
 		return
@@ -64,9 +64,9 @@
 }
 
 // serveTiedJobsLocked serves jobs that differ only in their remaining work. In the first
-// round, tasks of arrays and hosted jobs are placed only on machines that hold their
-// image; in the second round on any machine. So freed room is first used where it saves
-// a fetch.
+// round, arrays and hosted jobs get room only on machines that hold their image, except
+// for arrays that have waited for long enough, see shouldDeferFetchLocked. In the second
+// round they get room on any machine. So freed room is first used where it saves a fetch.
 func (s *Scheduler) serveTiedJobsLocked(tied []queue.Entry, now time.Time) {
 	s.fetchDeferred = false
 	for _, entry := range tied {
@@ -78,8 +78,8 @@
 }
 
 // serveJobLocked places tasks of an own job, or reserves room for a hosted one. The
-// image policy applies only to arrays and hosted jobs. Others are served once per pass,
-// in the first of the two rounds of serveTiedJobsLocked, and with any image policy.
+// image policy applies only to arrays and hosted jobs. Other jobs are served only in the
+// first of the two rounds of serveTiedJobsLocked, and get room on any machine.
 func (s *Scheduler) serveJobLocked(queued *queue.Job, now time.Time, images queue.ImagePolicy) {
 	switch {
 	case queued.Hosted:
--- a/internal/scheduler/probes.go
+++ b/internal/scheduler/probes.go
@@ -53,7 +53,7 @@
 		defer s.mu.Unlock()
 		m.EndRequest()
 		switch {
-		case !s.noteAnswerLocked(m, err):
+		case !s.recordAnswerLocked(m, err):
 			s.probeFailedLocked(m, err, now)
 		case heartbeat.Machine == m.Name && (heartbeat.Incarnation < incarnation || heartbeat.Incarnation == incarnation && heartbeat.Seq < seq):
 			s.returnRestartedLocked(m)
@@ -103,9 +103,9 @@
 	}
 }
 
-// noteAnswerLocked records whether a direct request was answered, and returns that. A
+// recordAnswerLocked records whether a direct request was answered, and returns that. A
 // worker that does not answer gets no new tasks, even while its heartbeats arrive.
-func (s *Scheduler) noteAnswerLocked(m *machine, err error) bool {
+func (s *Scheduler) recordAnswerLocked(m *machine, err error) bool {
 	if err == nil {
 		m.MarkReachable()
 		return true
--- a/internal/scheduler/remoteplacement.go
+++ b/internal/scheduler/remoteplacement.go
@@ -19,7 +19,7 @@
 	peerTimeout = time.Second
 	// maxRequestTasks bounds the tasks of one placement request.
 	maxRequestTasks = 48
-	// maxRequestTasksPerJob bounds the tasks of one job in it.
+	// maxRequestTasksPerJob bounds the tasks of one job in a placement request.
 	maxRequestTasksPerJob = 16
 )
 
--- a/internal/scheduler/renting.go
+++ b/internal/scheduler/renting.go
@@ -75,7 +75,7 @@
 	for i := range requests {
 		s.lastSerial++
 		// A token is never reused, and the serial number only increases under a token, so
-		// every request id is unique.
+		// every request ID is unique.
 		requests[i].RequestID = fmt.Sprintf("heronwick-%s-%d-%d", s.opts.Node, s.epoch.Token, s.lastSerial)
 	}
 	return requests
--- a/internal/scheduler/returns.go
+++ b/internal/scheduler/returns.go
@@ -63,7 +63,7 @@
 			return names[:len(names)-1]
 		}
 		m.returning = true
-		s.log.Info("returning machine", "machine", m.Name, "why", reason, "tasks", m.ActiveCount(), "quarantined", m.quarantined)
+		s.log.Info("returning machine", "machine", m.Name, "reason", reason, "tasks", m.ActiveCount(), "quarantined", m.quarantined)
 	}
 	return names
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -23,8 +23,8 @@
 )
 
 // Scheduler schedules one controller's part of the cluster: its jobs and its machines,
-// including the move-to-front list of machines in use. Its methods are safe for
-// concurrent use.
+// including the Move To Front list of open machines. Its methods are safe for concurrent
+// use.
 type Scheduler struct {
 	opts  Options
 	log   *slog.Logger
--- a/internal/scheduler/settle.go
+++ b/internal/scheduler/settle.go
@@ -52,7 +52,7 @@
 
 // updateHostLocked makes the leader the host of an attempt if the membership of its host
 // has ended, even if that controller has rejoined: it no longer knows which attempts it
-// had accepted. The leader adopted its machines and does.
+// had accepted. The leader knows them, since it has adopted that controller's machines.
 func (s *Scheduler) updateHostLocked(a *remote.Attempt) {
 	if s.epoch.Members[a.Host].Since != a.HostSince {
 		a.Host, a.HostSince = s.epoch.Leader, s.epoch.Members[s.epoch.Leader].Since
--- a/internal/scheduler/tokensync.go
+++ b/internal/scheduler/tokensync.go
@@ -32,7 +32,7 @@
 	unsynced []*machine    // machines whose workers are yet to be sent the token
 	requests int           // number of requests in flight
 	rate     *rate.Limiter // limits the requests
-	paused   bool          // until the limiter allows the next request
+	paused   bool          // whether requests pause for tokenRequestPause
 }
 
 // tokenRequestRate returns the limiter for the token requests of a controller with
@@ -109,7 +109,7 @@
 		defer s.mu.Unlock()
 		m.EndRequest()
 		s.tokenSync.requests--
-		if s.noteAnswerLocked(m, err) {
+		if s.recordAnswerLocked(m, err) {
 			s.applyHeartbeatLocked(m, heartbeat)
 		}
 		if ctx.Err() == nil {
