--- a/internal/checkpoint/scheduler.go
+++ b/internal/checkpoint/scheduler.go
@@ -28,8 +28,8 @@
 	// Fence returns the condition that fences the writes of records: the store must have
 	// the epoch that the scheduler acts under.
 	Fence() state.FencingCondition
-	// MemberSince returns the token of the epoch in which the membership of the
-	// scheduler's node began.
+	// MemberSince returns the token of the epoch in which the scheduler's node joined as
+	// a member.
 	MemberSince() uint64
 	// UniqueWriteID returns a string that no other write contains.
 	UniqueWriteID() string
@@ -48,7 +48,7 @@
 	// DropUnsentAttempts is called when a write failed because a job has ended. It removes
 	// the attempts of the job on these machines that were never sent to a worker: those
 	// that are not recorded must not start.
-	DropUnsentAttempts(job string, on iter.Seq[*Machine])
+	DropUnsentAttempts(job string, machines iter.Seq[*Machine])
 }
 
 // Committer commits writes to the store. It may commit several writes in one
--- a/internal/cluster/epoch.go
+++ b/internal/cluster/epoch.go
@@ -26,7 +26,7 @@
 // owned as a member before.
 type Member struct {
 	Incarnation uint64 `json:"incarnation"`
-	Since       uint64 `json:"since"` // token of the epoch in which it joined
+	Since       uint64 `json:"since"` // token of the epoch in which it joined; identifies this membership
 }
 
 // OwnerOf returns the member that owns a job of a team.
--- a/internal/cluster/membership.go
+++ b/internal/cluster/membership.go
@@ -16,7 +16,7 @@
 // act under the new membership.
 type Membership struct {
 	*Cluster
-	since uint64 // token of the epoch in which the membership began
+	since uint64 // token of the epoch in which this controller joined, see Member.Since
 }
 
 // FencingToken returns the fencing token of the current epoch. ok reports whether the
--- a/internal/cluster/options.go
+++ b/internal/cluster/options.go
@@ -89,8 +89,8 @@
 	removalTimeout   time.Duration // without heartbeats, after which a member is removed
 }
 
-func newTimeouts(slowness float64) timeouts {
-	scale := func(d time.Duration) time.Duration { return time.Duration(float64(d) * max(1, slowness)) }
+func newTimeouts(timeoutFactor float64) timeouts {
+	scale := func(d time.Duration) time.Duration { return time.Duration(float64(d) * max(1, timeoutFactor)) }
 	return timeouts{
 		leaderTTL:        scale(baseLeaderTTL),
 		heartbeatTimeout: scale(baseHeartbeatTimeout),
--- a/internal/cluster/ownership.go
+++ b/internal/cluster/ownership.go
@@ -19,7 +19,7 @@
 // transferring hundreds of machines takes only a few writes to the store.
 type Transfer struct {
 	Node  string `json:"node"`  // the new owner; "" means that the machines were returned to the cloud
-	Since uint64 `json:"since"` // Member.Since of the new owner
+	Since uint64 `json:"since"` // token of the epoch in which the new owner joined, see Member.Since
 	Token uint64 `json:"token"` // of the epoch under which the transfer was written
 	// Machines maps the name of each machine to its record from the previous owner.
 	Machines map[string]json.RawMessage `json:"machines,omitempty"`
@@ -33,7 +33,7 @@
 // machine.
 type Owner struct {
 	Node    string
-	Since   uint64          // Member.Since of the owner
+	Since   uint64          // token of the epoch in which the owner joined, see Member.Since
 	Machine json.RawMessage // record of the machine from the previous owner
 	Version uint64          // version of the transfer's key
 	key     string          // key of the transfer
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -31,7 +31,7 @@
 	level         FeatureLevel // highest feature level that its version supports
 	stateOK       bool         // whether it recently reached the store directly
 	workersHeard  uint32       // number of workers that recently sent heartbeats to it instead of the leader
-	confirmedAt   time.Time    // when the last heartbeat was sent in response to which it knew no newer epoch
+	confirmedAt   time.Time    // when the last heartbeat was sent whose response confirmed the epoch
 	excludedUntil time.Time    // until then it may not become a member
 	replication   replicationQueue
 }
--- a/internal/duty/intents.go
+++ b/internal/duty/intents.go
@@ -97,11 +97,11 @@
 
 // sortedIntents converts the entries of the cache and returns the results in the order of
 // compare. It omits entries for which convert returns false.
-func sortedIntents[T any](l *RecordCache, compare func(a, b T) int, convert func(key string, e entry) (T, bool)) []T {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func sortedIntents[T any](c *RecordCache, compare func(a, b T) int, convert func(key string, e entry) (T, bool)) []T {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var open []T
-	for key, e := range l.entries {
+	for key, e := range c.entries {
 		if intent, ok := convert(key, e); ok {
 			open = append(open, intent)
 		}
--- a/internal/duty/manager.go
+++ b/internal/duty/manager.go
@@ -28,7 +28,7 @@
 	Epoch    wire.Condition    // holds until a newer epoch is written
 	Since    uint64            // token of the epoch in which this controller joined; 0 if not a member
 	IsLeader bool              // this controller is the leader
-	Members  map[string]uint64 // Since of each member, by node
+	Members  map[string]uint64 // by node, token of the epoch in which the member joined
 	Fresh    bool              // the watch has delivered everything written under older epochs
 }
 
--- a/internal/duty/record.go
+++ b/internal/duty/record.go
@@ -25,7 +25,7 @@
 // increases.
 type holderRecord struct {
 	Node    string `json:"node"`    // "" if no controller holds the duty
-	Since   uint64 `json:"since"`   // token of the epoch in which the holder became a member
+	Since   uint64 `json:"since"`   // token of the epoch in which the holder joined as a member
 	Session uint64 `json:"session"` // version of the holder's session key
 }
 
--- a/internal/duty/returns.go
+++ b/internal/duty/returns.go
@@ -90,11 +90,11 @@
 }
 
 // SendUnrecordedReturn returns machines without an intent. It is for machines with cancelled
-// tasks that must be stopped by a deadline while the store is unreachable. No other
-// controller can become the owner of such a machine during the outage, so the request can do
-// harm only if the cloud executes it after the outage.
+// tasks that must be stopped by a deadline while the store is unreachable, so that no intent
+// can be recorded. No other controller can become the owner of such a machine during the
+// outage, so the request can do harm only if the cloud executes it after the outage.
 func (a *Actions) SendUnrecordedReturn(ctx context.Context, id ID, machines []string) error {
-	a.opts.Log.Warn("returning machines without an intent: a cancelled task must be gone", "duty", id, "machines", machines)
+	a.opts.Log.Warn("returning machines without an intent: cancelled tasks must be stopped by their deadline, but the intent could not be recorded", "duty", id, "machines", machines)
 	a.recordEvent(EventUnrecorded, id, wire.DutyEvent{Count: len(machines)})
 	if err := a.opts.Provider.Return(ctx, machines); err != nil {
 		return err
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -29,7 +29,7 @@
 }
 
 // BucketKey returns the key of a member's n-th bucket. since is the token of the epoch
-// in which its membership began.
+// in which the member joined.
 func BucketKey(node string, since, n uint64) string {
 	return state.MemberKey(RecordPrefix, node, since, strconv.FormatUint(n, 10))
 }
@@ -38,7 +38,8 @@
 const journalNamePrefix = "j"
 
 // JournalKey returns the key of a member's n-th journal. A journal contains attempts on
-// any of the member's machines that are not yet in the buckets of those machines.
+// any of the member's machines that are not yet in the buckets of those machines. since
+// is the token of the epoch in which the member joined.
 func JournalKey(node string, since uint64, n int) string {
 	return state.MemberKey(RecordPrefix, node, since, journalNamePrefix+strconv.Itoa(n))
 }
--- a/internal/job/cascade.go
+++ b/internal/job/cascade.go
@@ -74,14 +74,14 @@
 func (s *Store) nextCascadeBatch() []*Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var some []*Record
+	var batch []*Record
 	for _, r := range s.cascaded {
-		if len(some) == maxCascadeWritesPerRound {
+		if len(batch) == maxCascadeWritesPerRound {
 			break
 		}
-		some = append(some, r)
+		batch = append(batch, r)
 	}
-	return some
+	return batch
 }
 
 // writeCascadedOutcome replaces a job's active record in the store by its outcome, unless
--- a/internal/job/done.go
+++ b/internal/job/done.go
@@ -62,7 +62,7 @@
 }
 
 // DoneBucketKey returns the key of a member's n-th bucket. since is the token of the
-// epoch in which the membership began.
+// epoch in which the member joined.
 func DoneBucketKey(node string, since, n uint64) string {
 	return state.MemberKey(donePrefix, node, since, strconv.FormatUint(n, 10))
 }
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -32,8 +32,8 @@
 	return wire.Condition{Key: activePrefix + r.Job.ID, Version: r.Version}
 }
 
-// ActiveJobID returns the id of the job whose active record key is; ok is false for
-// false if the key does not hold an active record.
+// ActiveJobID returns the ID of the job whose active record is stored under a key. ok is
+// false if the key is not that of an active record.
 func ActiveJobID(key string) (id string, ok bool) { return idUnder(activePrefix, key) }
 
 // idUnder returns the part of a key after the prefix. ok is false if that part is empty
--- a/internal/job/store_test.go
+++ b/internal/job/store_test.go
@@ -50,7 +50,7 @@
 // not delay those of the new epoch. Each outdated write used to be sent, failed, and used
 // two writes of the limit. If the epoch changed again before all of them had failed, no
 // job could finish any more, and the machines of ended jobs were not transferred, which
-// raised the fencing token again.
+// incremented the fencing token again.
 func TestOutdatedFinishWritesDoNotDelayCurrentOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/state/bucket.go
+++ b/internal/state/bucket.go
@@ -20,7 +20,7 @@
 }
 
 // setRate changes the rate. It sets the burst to the tokens of one second, which
-// is the burst that the service allows, but at least to minBurst, so that the
+// is the burst that the store allows, but at least to minBurst, so that the
 // largest transaction fits.
 func (b *bucket) setRate(rate, minBurst float64) {
 	b.refill(time.Now())
--- a/internal/state/budget.go
+++ b/internal/state/budget.go
@@ -82,7 +82,7 @@
 }
 
 // Pause holds back all requests for d. It is called after a response with status
-// 429, which means that the controllers together have exceeded the service's limits.
+// 429, which means that the controllers together have exceeded the store's limits.
 func (b *Budget) Pause(d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -103,7 +103,7 @@
 
 // sendTxn sends a transaction for which the caller has acquired budget.
 func (c *Client) sendTxn(ctx context.Context, txn wire.Txn) (revision uint64, err error) {
-	// The service accepts lists only, not null.
+	// The store accepts lists only, not null.
 	if txn.If == nil {
 		txn.If = []wire.Condition{}
 	}
@@ -136,7 +136,7 @@
 }
 
 // Watch waits for at most wait until there are changes under prefix later than the
-// revision after, and returns them. The error is ErrCompacted if the service has
+// revision after, and returns them. The error is ErrCompacted if the store has
 // compacted some of them.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (wire.Events, error) {
 	if err := c.budget.Acquire(ctx, Safety, 0); err != nil {
--- a/internal/state/errors.go
+++ b/internal/state/errors.go
@@ -14,8 +14,8 @@
 	ErrUnknown     = errors.New("no response from the state service")
 	ErrNotFound    = errors.New("no such key or lease")
 	ErrCompacted   = errors.New("the watched revision is too old")
-	// ErrRejected means that the service rejects the request permanently, for
-	// example because it exceeds the service's size limits. Retrying it unchanged is
+	// ErrRejected means that the store rejects the request permanently, for
+	// example because it exceeds the store's size limits. Retrying it unchanged is
 	// useless.
 	ErrRejected = errors.New("rejected by the state service")
 	// ErrNotSent means that a Transport did not send the request because it had no
--- a/internal/state/failover.go
+++ b/internal/state/failover.go
@@ -16,7 +16,7 @@
 // a single controller while it serves the others.
 type FailoverTransport struct {
 	direct Transport
-	peers  func() []Transport // peers that recently reached the service directly
+	peers  func() []Transport // peers that recently reached the store directly
 
 	mu              sync.Mutex
 	directRetryAt   time.Time // the direct path is not tried before this time
@@ -26,7 +26,7 @@
 }
 
 // NewFailoverTransport returns a FailoverTransport. peers returns the peers that
-// recently reached the service directly; it may be nil.
+// recently reached the store directly; it may be nil.
 func NewFailoverTransport(direct Transport, peers func() []Transport) *FailoverTransport {
 	return &FailoverTransport{direct: direct, peers: peers}
 }
--- a/internal/state/keys.go
+++ b/internal/state/keys.go
@@ -7,7 +7,7 @@
 )
 
 // MemberKey returns a key that is written during one membership of a node only.
-// since is the token of the epoch in which the membership began, so no two
+// since is the token of the epoch in which the node joined as a member, so no two
 // memberships ever write the same key.
 func MemberKey(prefix, node string, since uint64, name string) string {
 	return fmt.Sprintf("%s%s/%d/%s", prefix, node, since, name)
@@ -16,7 +16,7 @@
 // KeyOwner identifies the only membership that writes a key made by MemberKey.
 type KeyOwner struct {
 	Node  string
-	Since uint64 // token of the epoch in which the membership began
+	Since uint64 // token of the epoch in which the node joined as a member
 }
 
 // OwnerOfKey returns the membership that writes a key made by MemberKey. ok is
--- a/internal/state/priority.go
+++ b/internal/state/priority.go
@@ -6,8 +6,8 @@
 
 // The priorities, most important first.
 const (
-	Urgent     Priority = iota // lease renewals, the epoch, and acquiring duties
-	Placement                  // the journal of placements, one write at a time
+	Urgent     Priority = iota // lease renewals, the epoch, duties, intents to return machines, and reads of a takeover
+	Placement                  // the journal of placements, one write at a time, transfers of machines, and intents to rent
 	Safety                     // ends of jobs, cancellations, and reads for user requests
 	Submission                 // accepting new jobs
 	Background                 // requests that no caller is blocked by
--- a/internal/state/queue.go
+++ b/internal/state/queue.go
@@ -6,7 +6,7 @@
 )
 
 // maxTxnBytes is the maximum size of the changes and conditions of a transaction.
-// The service's limit is 64 KiB; the difference is for the JSON around them.
+// The store's limit is 64 KiB; the difference is for the JSON around them.
 const maxTxnBytes = 56 << 10
 
 // conditionsPerChange is the ratio of the maximum number of conditions in a
--- a/internal/state/write.go
+++ b/internal/state/write.go
@@ -15,7 +15,7 @@
 	Priority Priority
 	If       []wire.Condition
 	Then     []wire.Change
-	// RetryUntilAnswered makes the write be retried until the service gives a definite
+	// RetryUntilAnswered makes the write be retried until the store gives a definite
 	// answer or the context ends. If it is not set, the write fails with
 	// ErrUnavailable after one attempt that was not carried out, or with ErrUnknown
 	// after two attempts without a response.
