--- a/internal/completion/flush.go
+++ b/internal/completion/flush.go
@@ -153,7 +153,7 @@
 		t.buckets[b.key] = b // otherwise the key would never be removed from the store
 	}
 	t.log.Debug("failed to write a bucket of done tasks; will retry", "key", b.key, "err", err)
-	t.scheduler.NoteRejected(err)
+	t.scheduler.LowerLimitIfRejected(err)
 	for _, failed := range write.blocks {
 		j := failed.job
 		j.unwritten[failed.block] = append(j.unwritten[failed.block], failed.attempts...)
--- a/internal/completion/scheduler.go
+++ b/internal/completion/scheduler.go
@@ -29,8 +29,8 @@
 	CleanupGuard() (duty.Guard, error)
 	// Commit writes key to the store. The result is valid even if there is an error.
 	Commit(ctx context.Context, key string, write state.Write) (CommitResult, error)
-	// NoteRejected lowers ValueLimit if err means that the store has rejected a value.
-	NoteRejected(err error)
+	// LowerLimitIfRejected lowers ValueLimit if err means that the store has rejected a value.
+	LowerLimitIfRejected(err error)
 }
 
 // CommitResult holds what is known of a key after a write to it.
--- a/internal/scheduler/completions.go
+++ b/internal/scheduler/completions.go
@@ -43,8 +43,8 @@
 	return completion.CommitResult{Version: version, Known: known}, err
 }
 
-// NoteRejected implements completion.Scheduler.
-func (s completionScheduler) NoteRejected(err error) { s.valueLimit.LowerIfRejected(err) }
+// LowerLimitIfRejected implements completion.Scheduler.
+func (s completionScheduler) LowerLimitIfRejected(err error) { s.valueLimit.LowerIfRejected(err) }
 
 // completionOf returns which tasks of a job are done, or nil if it is not one of this
 // scheduler's own jobs.
