--- a/internal/queue/order.go
+++ b/internal/queue/order.go
@@ -85,7 +85,7 @@
 	priority      int
 	overGuarantee int // 0 if one more task stays within the team's guarantee, else 1
 	urgency       urgency
-	remaining     float64
+	remaining     float64 // remaining work, or minus the age in seconds, see Sort
 }
 
 // TiesExceptRemaining reports whether the two entries are equal in all sort keys
--- a/internal/scheduler/handover.go
+++ b/internal/scheduler/handover.go
@@ -76,8 +76,9 @@
 	})
 }
 
-// canHandOverLocked reports whether a machine can be handed over: it is idle, and no
-// request that this controller has sent can still reach its worker.
+// canHandOverLocked reports whether a machine can be handed over: it is usable and idle,
+// its record need not be written, and no request that this controller has sent can still
+// reach its worker.
 func (s *Scheduler) canHandOverLocked(m *machine, now time.Time) bool {
 	return s.usableLocked(m, now) && m.Idle() && !m.record.Dirty && !m.commandPending && !m.RequestPending()
 }
--- a/internal/scheduler/settle.go
+++ b/internal/scheduler/settle.go
@@ -63,7 +63,7 @@
 func (s *Scheduler) settle(ctx context.Context, node string, req *peerpb.SettleRequest) {
 	reply, err := s.sendSettleRequest(ctx, node, req)
 	if err != nil || !reply.Ready {
-		s.log.Debug("settling remote attempts failed", "peer", node, "err", err)
+		s.log.Debug("settle request failed, or the host is not ready", "peer", node, "err", err)
 		return
 	}
 	s.mu.Lock()
