--- a/internal/checkpoint/writejournal.go
+++ b/internal/checkpoint/writejournal.go
@@ -8,8 +8,8 @@
 	"heronwick/internal/state"
 )
 
-// maxJournalsPerCommit is the maximum number of journals that are written at once, if the
-// pending placements do not fit in one. The more journals are written, the longer the
+// maxJournalsPerCommit is the maximum number of journals that one call of Commit writes,
+// if the pending placements do not fit in one. The more journals are written, the longer the
 // next journal write is delayed.
 const maxJournalsPerCommit = 4
 
--- a/internal/cluster/transfercleanup.go
+++ b/internal/cluster/transfercleanup.go
@@ -24,7 +24,7 @@
 
 // runTransferCleanup removes obsolete transfers periodically until ctx ends. It runs
 // separately from runElection, which renews the leader lease, because its requests
-// have the lowest priority under the store's rate limits and may wait for long.
+// have the lowest priority under the store's rate limits and may wait a long time.
 func (c *Cluster) runTransferCleanup(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait.Sleep(ctx, transferCleanupInterval)
--- a/internal/state/commit.go
+++ b/internal/state/commit.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// maxInFlight is the maximum number of transactions of each queue in flight at
-	// once. It is more than one so that a slow response delays only part of the
-	// writes.
+	// maxInFlight is the maximum number of transactions of each queue that are in
+	// flight at the same time. It is more than one so that a slow response delays
+	// only part of the writes.
 	maxInFlight = 3
 	// commitTimeout bounds one attempt of a transaction, and the reading back of one
 	// write.
