--- a/cmd/heronwick/httpserver.go
+++ b/cmd/heronwick/httpserver.go
@@ -50,8 +50,8 @@
 // ready reports whether this controller should receive requests. During an outage of
 // the key-value store all controllers stay ready, since removing all of them from load
 // balancing would do more harm than the outage. A controller is not ready if only it
-// cannot reach the store, or if it is not a member and hears no other controller: it
-// cannot confirm cancellations, but the others can.
+// cannot reach the store, or if it is not a member and receives nothing from its peers:
+// it cannot confirm cancellations, but the others can.
 func (c *controller) ready() bool {
 	if !c.jobs.Ready() || c.machineTypes.Types() == nil {
 		return false
--- a/cmd/heronwick/peers.go
+++ b/cmd/heronwick/peers.go
@@ -70,8 +70,8 @@
 	return transports
 }
 
-// workersUnreachableHoldTime is how long a controller keeps reporting to its peers that
-// it could not reach most of its workers.
+// workersUnreachableHoldTime is how long a controller keeps reporting to its peers that it
+// cannot reach most of its workers, counted from when that was last the case.
 const workersUnreachableHoldTime = 15 * time.Second
 
 // fillStatus fills in the status that this controller sends to its peers in heartbeats.
--- a/cmd/heronwick/ratelimits.go
+++ b/cmd/heronwick/ratelimits.go
@@ -9,7 +9,7 @@
 )
 
 // Fractions of the key-value store's rate limits. Each member other than the leader gets
-// memberFraction. A controller that is not a member only accepts jobs and answers users,
+// memberFraction. A controller that is not a member only accepts jobs and serves users,
 // and gets nonMemberFraction. The leader gets the rest, because it also maintains the
 // epoch and takes over the jobs and machines of failed members.
 const (
