--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -10,8 +10,8 @@
 	"heronwick/wire"
 )
 
-// SetCloud makes the cloud unavailable, or ends that.
-func (f *Fleet) SetCloud(down bool) {
+// SetCloudOutage makes the cloud unavailable, or ends that.
+func (f *Fleet) SetCloudOutage(down bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cloudDown = down
