--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -31,8 +31,8 @@
 	HeartbeatInterval time.Duration
 	// Lease is how long a worker's lease lasts without a renewal.
 	Lease time.Duration
-	// RunFor returns how long a task runs; 0: until it is stopped.
-	RunFor func(task string) time.Duration
+	// TaskDuration returns how long a task runs; 0: until it is stopped.
+	TaskDuration func(task string) time.Duration
 	// Ended, if set, is called in a goroutine of its own for each task that is done.
 	Ended func(task string)
 	// Fails, if set, reports whether a job's tasks fail on a machine.
