--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -33,10 +33,10 @@
 	Lease time.Duration
 	// TaskDuration returns how long a task runs; 0: until it is stopped.
 	TaskDuration func(task string) time.Duration
-	// Ended, if set, is called in a goroutine of its own for each task that is done.
-	Ended func(task string)
-	// Fails, if set, reports whether a job's tasks fail on a machine.
-	Fails func(job, machine string) bool
+	// OnTaskDone, if set, is called in a goroutine of its own for each task that is done.
+	OnTaskDone func(task string)
+	// TaskFails, if set, reports whether a job's tasks fail on a machine.
+	TaskFails func(job, machine string) bool
 	// DeliverHeartbeat delivers a worker's heartbeat to a controller.
 	DeliverHeartbeat func(node string, heartbeat *wire.Heartbeat) HeartbeatResponse
 	// Nodes are the controllers' names, to which heartbeats are sent.
