--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -167,7 +167,7 @@
 func (f *Fleet) returnLocked(machines []string) {
 	for _, name := range machines {
 		if f.removeLocked(name) {
-			f.Returned = append(f.Returned, name)
+			f.ReturnedMachines = append(f.ReturnedMachines, name)
 		}
 	}
 }
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -43,8 +43,8 @@
 	Nodes []string
 	// Checker sees what runs; Start makes one if there is none.
 	Checker *Checker
-	// Returned names the machines that were returned, in order.
-	Returned []string
+	// ReturnedMachines names the machines that were returned, in order.
+	ReturnedMachines []string
 
 	ctx context.Context // of Start; the workers run until it ends
 
