--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -137,7 +137,7 @@
 		}
 		for _, t := range f.Types {
 			if t.Name == req.Type {
-				names = append(names, f.addLocked(t, req.Zone, req.Spot, f.Boot))
+				names = append(names, f.addLocked(t, req.Zone, req.Spot, f.BootTime))
 			}
 		}
 	}
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -23,10 +23,10 @@
 	Types []wire.MachineType
 	// Capacity is how many machines there can be.
 	Capacity int
-	// Boot is how long a rented machine takes to boot before its worker runs.
-	Boot time.Duration
-	// Fetch is how long a task takes to fetch its image before it runs.
-	Fetch time.Duration
+	// BootTime is how long a rented machine takes to boot before its worker runs.
+	BootTime time.Duration
+	// ImageFetchTime is how long a task takes to fetch its image before it runs.
+	ImageFetchTime time.Duration
 	// HeartbeatInterval is the interval between two heartbeats of a worker without a change.
 	HeartbeatInterval time.Duration
 	// Lease is how long a worker's lease lasts without a renewal.
--- a/internal/standin/task.go
+++ b/internal/standin/task.go
@@ -43,7 +43,7 @@
 func (w *Worker) startLocked(attempt string, command wire.Command) {
 	t := &task{TaskStatus: wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: wire.TaskFetching}}
 	w.tasks[attempt] = t
-	t.timer = time.AfterFunc(w.fleet.Fetch, func() { w.fetched(t) })
+	t.timer = time.AfterFunc(w.fleet.ImageFetchTime, func() { w.fetched(t) })
 }
 
 // fetched runs a task whose image is fetched.
