--- a/internal/standin/checker_waiting.go
+++ b/internal/standin/checker_waiting.go
@@ -14,10 +14,10 @@
 	Tasks          []string
 }
 
-// Waiting returns, for each job that could run, its first task that is on no machine though
+// PlaceableTasks returns, for each job that could run, its first task that is on no machine though
 // one of the given machines has room for it. The tasks on the machines must belong to
 // submitted jobs.
-func (c *Checker) Waiting(machines []Headroom) (waiting []string) {
+func (c *Checker) PlaceableTasks(machines []Headroom) (waiting []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	placed, usedByTeam := map[string]bool{}, map[string]float64{}
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -142,14 +142,14 @@
 	return slices.Sorted(maps.Keys(f.workers))
 }
 
-// Waiting returns a task of each job that could run but is on no machine: one has room, is
+// PlaceableTasks returns a task of each job that could run but is on no machine: one has room, is
 // of a type and in a zone that the job allows, and the team's quota permits it.
-func (f *Fleet) Waiting() []string {
+func (f *Fleet) PlaceableTasks() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var machines []Headroom
 	for _, w := range f.workers {
 		machines = append(machines, w.headroomLocked())
 	}
-	return f.Checker.Waiting(machines)
+	return f.Checker.PlaceableTasks(machines)
 }
