--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -23,10 +23,10 @@
 	// transactions that it carried out or refused as too large.
 	Requests, Writes int
 	// RequestRate and WriteRate are the limits of requests and of changes a second, with
-	// bursts of a second's worth; RequestRate 0: none. Refused counts the requests above
+	// bursts of a second's worth; RequestRate 0: none. RateLimited counts the requests above
 	// them.
 	RequestRate, WriteRate float64
-	Refused                int
+	RateLimited            int
 	// MaxValueBytes and MaxTxnOps are the limits of a value's size and of a transaction's
 	// changes; 0: none. TooLarge counts the transactions above them.
 	MaxValueBytes, MaxTxnOps int
--- a/internal/standin/state_limits.go
+++ b/internal/standin/state_limits.go
@@ -28,7 +28,7 @@
 		return false
 	}
 	s.requestsTaken, s.writesTaken = s.requestsTaken-1, s.writesTaken-float64(writes)
-	s.Refused++
+	s.RateLimited++
 	return true
 }
 
