--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -56,8 +56,8 @@
 	f.heldReturns = nil
 }
 
-// RentRequests returns how often each rental was requested, by its request's name.
-func (f *Fleet) RentRequests() map[string]int {
+// RentRequestCounts returns how often each rental was requested, by its request's name.
+func (f *Fleet) RentRequestCounts() map[string]int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return maps.Clone(f.rentRequests)
