--- a/internal/standin/checker.go
+++ b/internal/standin/checker.go
@@ -13,8 +13,8 @@
 // what runs on machines, and nothing of the controllers. Its limits are set before use;
 // its methods are safe for concurrent use.
 type Checker struct {
-	// Limits are the teams' quotas in CPUs; a team that is not listed has none.
-	Limits map[string]float64
+	// TeamQuotas are the teams' quotas in CPUs; a team that is not listed has none.
+	TeamQuotas map[string]float64
 	// CancelTimeout is how long after its user was told so a cancelled job's tasks must be
 	// gone; 0: not checked.
 	CancelTimeout time.Duration
