--- a/internal/standin/checker_tasks.go
+++ b/internal/standin/checker_tasks.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// Started checks the start of a task, once it has its image.
-func (c *Checker) Started(task string, at Location) {
+// ObserveStart checks the start of a task, once it has its image.
+func (c *Checker) ObserveStart(task string, at Location) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	id := jobOf(task)
@@ -93,8 +93,8 @@
 	return !job.Spread || inZone <= (job.Tasks+1)/2
 }
 
-// Ended takes note that a task no longer runs; done reports whether it ended well.
-func (c *Checker) Ended(task string, done bool) {
+// ObserveExit takes note that a task no longer runs; done reports whether it ended well.
+func (c *Checker) ObserveExit(task string, done bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.running, task)
--- a/internal/standin/task.go
+++ b/internal/standin/task.go
@@ -57,7 +57,7 @@
 	if t.timerDue = w.paused; t.timerDue {
 		return
 	}
-	f.Checker.Started(t.Task, w.location())
+	f.Checker.ObserveStart(t.Task, w.location())
 	t.State = wire.TaskRunning
 	if f.TaskFails != nil && f.TaskFails(jobOf(t.Task), w.name) {
 		w.exitLocked(t, wire.ExitError)
@@ -85,7 +85,7 @@
 func (w *Worker) exitLocked(t *task, reason wire.ExitReason) {
 	t.timer.Stop()
 	if t.State == wire.TaskRunning {
-		w.fleet.Checker.Ended(t.Task, reason == wire.ExitDone)
+		w.fleet.Checker.ObserveExit(t.Task, reason == wire.ExitDone)
 	}
 	t.State, t.Reason = wire.TaskExited, reason
 	w.wake()
