--- a/internal/standin/checker.go
+++ b/internal/standin/checker.go
@@ -118,8 +118,8 @@
 	return machines
 }
 
-// Starts returns how often a task has started.
-func (c *Checker) Starts(task string) int {
+// StartCount returns how often a task has started.
+func (c *Checker) StartCount(task string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.starts[task]
