--- a/internal/checkpoint/table.go
+++ b/internal/checkpoint/table.go
@@ -49,7 +49,7 @@
 
 // RemoveMachine removes a machine that the scheduler no longer owns. The stored bucket
 // contains its outdated record until the bucket is written again. This is safe because
-// whoever reads the record also asks the machine's owner or its worker.
+// a controller that reads the record also asks the machine's owner or its worker.
 func (t *Table) RemoveMachine(m *Machine) {
 	if m.bucket != nil {
 		delete(m.bucket.machines, m.Name)
--- a/internal/cluster/leadership.go
+++ b/internal/cluster/leadership.go
@@ -22,7 +22,7 @@
 	c.mu.Unlock()
 	err := c.opts.Client.Renew(ctx, lease)
 	if (errors.Is(err, state.ErrNotFound) || keyLost) && !steppedDown {
-		c.opts.Log.Info("leader lease expired, reacquiring it")
+		c.opts.Log.Info("leader lease expired; reacquiring it")
 		c.reacquireLeaderLease(ctx)
 	}
 }
--- a/internal/cluster/membership.go
+++ b/internal/cluster/membership.go
@@ -118,7 +118,7 @@
 	excluded := now.Before(p.excludedUntil)
 	if member != 0 && (!alive || p.incarnation != member || excluded) {
 		delete(next.Members, p.node)
-		c.opts.Log.Info("member removed", "member", p.node, "last_heard_ago", now.Sub(p.lastSeen), "excluded", excluded)
+		c.opts.Log.Info("member removed", "peer", p.node, "last_heard_ago", now.Sub(p.lastSeen), "excluded", excluded)
 		member, changed = 0, true
 	}
 	// A peer joins only if it knows the current epoch, which proves that it was
@@ -127,7 +127,7 @@
 	eligible := alive && p.status.Ready && !p.status.Cut && p.token >= c.epoch.Token && now.After(p.excludedUntil)
 	if member == 0 && eligible {
 		next.Members[p.node] = Member{Incarnation: p.incarnation, Since: next.Token}
-		c.opts.Log.Info("member joins", "member", p.node)
+		c.opts.Log.Info("member joins", "peer", p.node)
 		changed = true
 	}
 	return changed
--- a/internal/duty/manager.go
+++ b/internal/duty/manager.go
@@ -180,7 +180,7 @@
 	case holds && previous != h.token:
 		mgr.held[id] = h.token
 		waited := mgr.resetWaitLocked(id, now)
-		mgr.opts.Log.Info("duty acquired", "duty", id, "token", h.token, "after", waited)
+		mgr.opts.Log.Info("duty acquired", "duty", id, "token", h.token, "waited", waited)
 		mgr.opts.History.add(wire.DutyEvent{At: now, Kind: string(EventAcquired), Duty: id.String(), Node: mgr.opts.Node, Token: h.token, TookS: waited.Seconds()})
 	case !holds && previous != 0:
 		delete(mgr.held, id)
--- a/internal/placement/list_test.go
+++ b/internal/placement/list_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// Move To Front as the paper defines it (section 2.2): the item goes to the first machine
-// in the list that can take it, and this machine moves to the front.
+// Move To Front as defined in section 2.2 of "Dynamic Vector Bin Packing for Online
+// Resource Allocation in the Cloud": the item goes to the first machine in the list that
+// can take it, and this machine moves to the front.
 func TestFindAndMoveToFront(t *testing.T) {
 	for _, test := range []struct {
 		name  string
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -93,7 +93,7 @@
 // scheduler's machines: first its consequences for the machine, then those for the job.
 func (s *Scheduler) handleAttemptExitLocked(m *machine, a *fleet.Attempt) {
 	now := time.Now()
-	s.log.Debug("exited", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "reason", a.ExitReason, "since_placed", now.Sub(a.PlacedAt))
+	s.log.Debug("task exited", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "reason", a.ExitReason, "since_placed", now.Sub(a.PlacedAt))
 	if a.ExitReason == wire.ExitError {
 		s.handleTaskFailureLocked(m, s.jobOf(a.Job), a, now)
 	}
@@ -128,7 +128,7 @@
 	switch a.ExitReason {
 	case wire.ExitStopped, wire.ExitDone, wire.ExitError, wire.ExitPeerLost, wire.ExitGangIncomplete:
 	default:
-		s.log.Info("start refused", "task", a.Task, "attempt", a.Attempt, "reason", a.ExitReason)
+		s.log.Info("worker refused to start a task", "task", a.Task, "attempt", a.Attempt, "reason", a.ExitReason)
 		queued.NotBefore = now.Add(refusedStartDelay)
 	}
 	s.uncountAttemptLocked(a)
@@ -186,11 +186,11 @@
 }
 
 // ensureAttemptNumbersLocked reports whether enough attempt numbers are left under the
-// fencing token to place tasks. It raises the token when few are left.
+// fencing token to place tasks. It increments the token when few are left.
 func (s *Scheduler) ensureAttemptNumbersLocked(now time.Time) bool {
 	left := s.attemptNumbers.Remaining(s.epoch.Token)
 	if left < fleet.LowAttemptNumbers {
-		s.raiseTokenLocked(now)
+		s.incrementTokenLocked(now)
 	}
 	return left >= fleet.MinAttemptNumbers
 }
--- a/internal/scheduler/completions.go
+++ b/internal/scheduler/completions.go
@@ -101,7 +101,7 @@
 	err := s.opts.Jobs.Finish(ctx, queued.Record, fence)
 	var conflict *state.Conflict
 	if errors.As(err, &conflict) && conflict.Includes(queued.Record.Condition().Key) {
-		s.log.Debug("failed to write a job's end", "job", id, "err", err)
+		s.log.Debug("failed to write the end of a job", "job", id, "err", err)
 		s.mu.Lock()
 		s.resolveJobLocked(id)
 		s.mu.Unlock()
--- a/internal/scheduler/epoch.go
+++ b/internal/scheduler/epoch.go
@@ -19,11 +19,11 @@
 	cluster.Epoch
 	condition wire.Condition
 	// assigned and assignedToken are the condition and the token of the epoch with the
-	// last new shard assignment. The fencing token may have been raised since, which
-	// changes no owner.
+	// last new shard assignment. The fencing token may have been incremented since,
+	// which changes no owner.
 	assigned      wire.Condition
 	assignedToken uint64
-	raisedAt      time.Time // when the token was last raised
+	incrementedAt time.Time // when the token was last incremented
 }
 
 // sameAssignment reports whether two epochs have the same shard assignment.
@@ -54,7 +54,7 @@
 		return // a transfer of the previous epoch may be missing; the watch will deliver it
 	}
 	if s.loaded && epoch.Token != s.epoch.Token && sameAssignment(epoch, &s.epoch.Epoch) {
-		s.applyRaisedTokenLocked(view)
+		s.applyIncrementedTokenLocked(view)
 	}
 	if epoch.Leader != s.opts.Node {
 		owners.Orphans = nil // only the leader adopts them
@@ -68,13 +68,13 @@
 	s.spawn(func(ctx context.Context) { s.rebuild(ctx, view, gained, adopt) })
 }
 
-// applyRaisedTokenLocked applies an epoch that differs from the scheduler's epoch
+// applyIncrementedTokenLocked applies an epoch that differs from the scheduler's epoch
 // only by a higher fencing token.
-func (s *Scheduler) applyRaisedTokenLocked(view cluster.View) {
+func (s *Scheduler) applyIncrementedTokenLocked(view cluster.View) {
 	if s.adoptedToken == s.epoch.Token {
 		s.adoptedToken = view.Epoch.Token
 	}
-	s.epoch.Epoch, s.epoch.condition, s.epoch.raisedAt = view.Epoch, view.Condition, time.Now()
+	s.epoch.Epoch, s.epoch.condition, s.epoch.incrementedAt = view.Epoch, view.Condition, time.Now()
 }
 
 // machinesToAdoptLocked returns the machines, owned by this scheduler or without an
@@ -134,7 +134,7 @@
 	if !s.loaded || !sameAssignment(&view.Epoch, &s.epoch.Epoch) {
 		s.epoch.assigned, s.epoch.assignedToken = view.Condition, view.Epoch.Token
 	}
-	s.epoch.Epoch, s.epoch.condition, s.epoch.raisedAt = view.Epoch, view.Condition, time.Now()
+	s.epoch.Epoch, s.epoch.condition, s.epoch.incrementedAt = view.Epoch, view.Condition, time.Now()
 }
 
 // dropLostJobsLocked removes the jobs that other schedulers own in an epoch. Their
@@ -183,22 +183,23 @@
 // current one.
 func (s *Scheduler) currentLocked() bool { return s.fenceLocked().IsCurrent() }
 
-// raiseTokenInterval is the minimum time between two attempts to raise the fencing
-// token.
-const raiseTokenInterval = 2 * time.Second
+// incrementTokenInterval is the minimum time between two attempts to increment the
+// fencing token.
+const incrementTokenInterval = 2 * time.Second
 
-// raiseTokenLocked raises the fencing token, at most once per raiseTokenInterval.
-func (s *Scheduler) raiseTokenLocked(now time.Time) {
-	if s.raisingToken || now.Sub(s.raiseAttemptedAt) <= raiseTokenInterval {
+// incrementTokenLocked increments the fencing token, at most once per
+// incrementTokenInterval.
+func (s *Scheduler) incrementTokenLocked(now time.Time) {
+	if s.incrementingToken || now.Sub(s.incrementAttemptedAt) <= incrementTokenInterval {
 		return
 	}
-	s.raisingToken, s.raiseAttemptedAt = true, now
+	s.incrementingToken, s.incrementAttemptedAt = true, now
 	s.spawn(func(ctx context.Context) {
 		if err := s.opts.Authority.AdvanceEpoch(ctx); err != nil {
-			s.log.Info("failed to raise the fencing token", "err", err)
+			s.log.Info("failed to increment the fencing token", "err", err)
 		}
 		s.mu.Lock()
-		s.raisingToken = false
+		s.incrementingToken = false
 		s.mu.Unlock()
 	})
 }
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -193,7 +193,7 @@
 				s.handleAttemptExitLocked(m, a)
 			}
 		case fleet.Started:
-			s.log.Debug("started", "task", a.Task, "machine", m.Name, "since_placed", time.Since(a.PlacedAt))
+			s.log.Debug("task started", "task", a.Task, "machine", m.Name, "since_placed", time.Since(a.PlacedAt))
 			if queued := s.jobOf(a.Job); queued != nil && a.Service {
 				queued.Succeeded = true
 			}
--- a/internal/scheduler/hostedattempts.go
+++ b/internal/scheduler/hostedattempts.go
@@ -78,7 +78,7 @@
 
 // dropStaleHostedLocked removes hosted attempts that were requested under an earlier
 // shard assignment and have not been recorded since. If their owner settles them, the
-// answer is that they are not here.
+// reply is that they are not here.
 func (s *Scheduler) dropStaleHostedLocked(m *machine) {
 	for _, a := range m.Attempts.All() {
 		if a.Hosted && !a.Recorded && a.Epoch < s.epoch.assignedToken {
--- a/internal/scheduler/hosting.go
+++ b/internal/scheduler/hosting.go
@@ -169,7 +169,7 @@
 	m.packing.UseReservation(id)
 	r.job.Zones[m.Zone]++
 	r.placed++
-	s.log.Debug("placed", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "image_held", m.HasImage(a.Image), "owner", r.from)
+	s.log.Debug("task placed for a peer", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "image_held", m.HasImage(a.Image), "peer", r.from)
 }
 
 // handOverToOwnerLocked hands over the first machine, and as many other idle machines as
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -88,7 +88,7 @@
 	s.jobs[j.ID] = queued
 	s.log.Debug("job queued", "job", j.ID, "class", j.Class, "team", j.Team, "tasks", j.Tasks, "cpus", j.CPUs,
 		"image", j.Image, "estimate_s", j.EstimateS,
-		"needs", j.Dependencies, "ready", queued.Ready, "rank", queued.EffectivePriority)
+		"dependencies", j.Dependencies, "ready", queued.Ready, "rank", queued.EffectivePriority)
 	return queued
 }
 
@@ -111,7 +111,7 @@
 func (s *Scheduler) endJobLocked(id string, outcome job.Outcome, stopBy time.Time) {
 	queued := s.jobs[id]
 	if queued != nil {
-		s.log.Debug("job ended", "job", id, "state", outcome.State, "after", time.Since(queued.AcceptedAt))
+		s.log.Debug("job ended", "job", id, "state", outcome.State, "elapsed", time.Since(queued.AcceptedAt))
 		for a := range queued.Done.Unwritten() {
 			a.ExitProcessed = true
 		}
--- a/internal/scheduler/machinewatch.go
+++ b/internal/scheduler/machinewatch.go
@@ -13,8 +13,8 @@
 	// controllers other than the leader, even workers that the leader reaches.
 	electionSettleTime = 10 * time.Second
 	// exitedAttemptsTokenAge and exitedAttemptsIdleTime are the times that must have
-	// passed since the token was last raised, and since a machine became idle, before
-	// exited attempts on the machine can cause the token to be raised.
+	// passed since the token was last incremented, and since a machine became idle, before
+	// exited attempts on the machine can cause the token to be incremented.
 	exitedAttemptsTokenAge = 20 * time.Second
 	exitedAttemptsIdleTime = 2 * time.Second
 	// overdueMargin is how long before the deadline of a cancelled task its machine is
@@ -29,7 +29,7 @@
 
 // watchMachinesLocked probes silent workers, settles the attempts of workers whose
 // leases have expired, returns failed machines, drains machines that are about to be
-// taken away or whose heartbeats are missing, and raises the fencing token if
+// taken away or whose heartbeats are missing, and increments the fencing token if
 // attempts cannot be settled otherwise.
 func (s *Scheduler) watchMachinesLocked(now time.Time) {
 	if !s.loaded || !s.permitted() {
@@ -37,7 +37,7 @@
 	}
 	assessment := s.detector.Assess(s.workersLocked(), now, s.detector.Busy(time.Now()))
 	s.resignIfPartitionedLocked(assessment, now)
-	raise := false
+	increment := false
 	token := s.opts.Authority.Token()
 	returned := map[autoscale.ReturnReason][]*machine{}
 	for _, m := range s.machines {
@@ -49,13 +49,13 @@
 		if !m.ReclaimAt.IsZero() || assessment.HeartbeatsMissing(&m.Worker) {
 			s.drainLocked(m)
 		}
-		raise = raise || m.NeedsHigherFencingToken(token) || s.heldByExitedAttemptsLocked(m, now)
+		increment = increment || m.NeedsHigherFencingToken(token) || s.heldByExitedAttemptsLocked(m, now)
 	}
 	for reason, machines := range returned {
 		s.returnLocked(machines, reason)
 	}
-	if raise {
-		s.raiseTokenLocked(now)
+	if increment {
+		s.incrementTokenLocked(now)
 	}
 }
 
@@ -144,5 +144,5 @@
 // machine from being handed over or returned.
 func (s *Scheduler) heldByExitedAttemptsLocked(m *machine, now time.Time) bool {
 	return m.ActiveCount() == 0 && m.Attempts.Len() > 0 &&
-		now.Sub(s.epoch.raisedAt) > exitedAttemptsTokenAge && now.Sub(m.idleSince) > exitedAttemptsIdleTime
+		now.Sub(s.epoch.incrementedAt) > exitedAttemptsTokenAge && now.Sub(m.idleSince) > exitedAttemptsIdleTime
 }
--- a/internal/scheduler/options.go
+++ b/internal/scheduler/options.go
@@ -31,7 +31,7 @@
 	// FencedSince returns a time after which no controller has replied to a worker under
 	// an epoch older than token; ok is false if that is not proven.
 	FencedSince(token uint64) (since time.Time, ok bool)
-	// AdvanceEpoch raises the fencing token and changes nothing else.
+	// AdvanceEpoch increments the fencing token and changes nothing else.
 	AdvanceEpoch(ctx context.Context) error
 
 	// Ownership returns the machines that this controller owns and those whose owner is
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -135,6 +135,6 @@
 	m.packing.RoomChanged()
 	s.countAttemptLocked(m.Zone, a)
 	m.record.Dirty = true
-	s.log.Debug("placed", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "image_held", m.HasImage(a.Image))
+	s.log.Debug("task placed", "task", a.Task, "attempt", a.Attempt, "machine", m.Name, "image_held", m.HasImage(a.Image))
 	return a
 }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -104,7 +104,7 @@
 		m.packing.Reserve(queued.Record.Job.ID, queued.Size, now)
 	}
 	for _, a := range plan.Victims {
-		s.log.Info("preempting", "task", a.Task, "machine", m.Name, "for", queued.Record.Job.ID)
+		s.log.Info("preempting", "task", a.Task, "machine", m.Name, "for_job", queued.Record.Job.ID)
 		a.Stop = true
 	}
 	s.sendCommandsLocked(m)
--- a/internal/scheduler/rebuild_test.go
+++ b/internal/scheduler/rebuild_test.go
@@ -101,7 +101,7 @@
 	})
 }
 
-// A machine is handed over to a peer, but the store's answer is lost, and the peer
+// A machine is handed over to a peer, but the store's response is lost, and the peer
 // has already placed a task on the machine when this scheduler gains the task's job.
 // The recorded attempt must be known even though the handover is still in progress
 // here (rule ran_twice).
--- a/internal/scheduler/remoteplacement.go
+++ b/internal/scheduler/remoteplacement.go
@@ -104,7 +104,7 @@
 
 // requestPlacementLocked requests room from one peer. The tasks are tracked as remote
 // attempts before the request is sent, because the peer may place them even if its
-// answer is lost.
+// reply is lost.
 func (s *Scheduler) requestPlacementLocked(node string, waiting []*queue.Job) {
 	req := s.buildPlaceRequestLocked(node, waiting)
 	if len(req.Wanted) == 0 {
@@ -119,7 +119,7 @@
 	})
 }
 
-// sendPlaceRequest sends a placement request and waits up to peerTimeout for the answer.
+// sendPlaceRequest sends a placement request and waits up to peerTimeout for the reply.
 func (s *Scheduler) sendPlaceRequest(ctx context.Context, node string, req *peerpb.PlaceRequest) (*peerpb.PlaceReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -181,7 +181,7 @@
 // placed them.
 func (s *Scheduler) applyPlaceReplyLocked(node string, req *peerpb.PlaceRequest, reply *peerpb.PlaceReply, err error) {
 	if err != nil {
-		s.log.Debug("placement request failed", "peer", node, "err", err)
+		s.log.Debug("failed to request placements", "peer", node, "err", err)
 	}
 	s.placeThrottle.End(node, placeOutcome(reply, err), time.Now())
 	taken := map[fleet.Key]*peerpb.Hosted{}
@@ -225,7 +225,7 @@
 	}
 	if hosted := taken[key]; hosted != nil {
 		s.setRemoteZoneLocked(a, hosted.Zone)
-		s.log.Debug("placed remotely", "task", key.Task, "attempt", key.Attempt, "peer", node)
+		s.log.Debug("task placed by a peer", "task", key.Task, "attempt", key.Attempt, "peer", node)
 		return
 	}
 	s.untrackRemoteLocked(a)
--- a/internal/scheduler/renting.go
+++ b/internal/scheduler/renting.go
@@ -147,6 +147,6 @@
 		}
 	}
 	if len(names) > 0 {
-		s.log.Info("rented", "machines", names, "type", req.Type, "zone", req.Zone, "spot", req.Spot)
+		s.log.Info("machines rented", "machines", names, "type", req.Type, "zone", req.Zone, "spot", req.Spot)
 	}
 }
--- a/internal/scheduler/returns_test.go
+++ b/internal/scheduler/returns_test.go
@@ -69,7 +69,7 @@
 }
 
 // Nothing is placed on a machine for which a previous owner has recorded a return
-// intent. Its new owner returns it, whatever runs there.
+// intent. Its new owner returns it, even if tasks run on it.
 func TestMachineWithReturnIntentIsNotUsed(t *testing.T) {
 	s, _, m := newTestScheduler(t)
 	now := time.Now()
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -44,17 +44,17 @@
 	mu sync.Mutex
 
 	// The epoch under which the scheduler acts, and what it has adopted under it.
-	epoch              epochState
-	loaded             bool                 // whether the records have been read
-	rebuilding         bool                 // whether rebuild is running
-	startVersion       uint64               // version of the epoch key when the records were first read
-	adoptedToken       uint64               // fencing token under which machines without an owner were last adopted
-	preAdoptionReplies map[string]time.Time // by machine that is not adopted yet, when its worker was last sent a reply
-	tokenSync          tokenSync
-	raisingToken       bool      // whether AdvanceEpoch is running
-	raiseAttemptedAt   time.Time // when AdvanceEpoch was last called
-	leaderSince        time.Time // when this controller last became leader
-	resignedAt         time.Time // when it last resigned as leader
+	epoch                epochState
+	loaded               bool                 // whether the records have been read
+	rebuilding           bool                 // whether rebuild is running
+	startVersion         uint64               // version of the epoch key when the records were first read
+	adoptedToken         uint64               // fencing token under which machines without an owner were last adopted
+	preAdoptionReplies   map[string]time.Time // by machine that is not adopted yet, when its worker was last sent a reply
+	tokenSync            tokenSync
+	incrementingToken    bool      // whether AdvanceEpoch is running
+	incrementAttemptedAt time.Time // when AdvanceEpoch was last called
+	leaderSince          time.Time // when this controller last became leader
+	resignedAt           time.Time // when it last resigned as leader
 
 	// Jobs and pending tasks.
 	teams          *queue.Teams
--- a/internal/scheduler/settle.go
+++ b/internal/scheduler/settle.go
@@ -63,7 +63,7 @@
 func (s *Scheduler) settle(ctx context.Context, node string, req *peerpb.SettleRequest) {
 	reply, err := s.sendSettleRequest(ctx, node, req)
 	if err != nil || !reply.Ready {
-		s.log.Debug("settle request failed, or the host is not ready", "peer", node, "err", err)
+		s.log.Debug("failed to settle remote attempts, or the host is not ready", "peer", node, "err", err)
 		return
 	}
 	s.mu.Lock()
@@ -82,7 +82,7 @@
 	}
 }
 
-// sendSettleRequest sends a settle request and waits up to peerTimeout for the answer.
+// sendSettleRequest sends a settle request and waits up to peerTimeout for the reply.
 func (s *Scheduler) sendSettleRequest(ctx context.Context, node string, req *peerpb.SettleRequest) (*peerpb.SettleReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -92,7 +92,7 @@
 // applySettledLocked applies what a host reports about a remote attempt.
 func (s *Scheduler) applySettledLocked(a *remote.Attempt, hosted *peerpb.Hosted, now time.Time) {
 	if !hosted.Known {
-		s.log.Info("task lost", "task", a.Task, "attempt", a.Attempt.Attempt, "host", a.Host)
+		s.log.Info("task lost", "task", a.Task, "attempt", a.Attempt.Attempt, "peer", a.Host)
 		s.untrackRemoteLocked(a)
 		return
 	}
