--- a/tools/crossversion.sh
+++ b/tools/crossversion.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Checks that the version in production (deploy/service.toml) reads what this one
-# writes before the switch to job chains, and the reverse, with the version's own
-# code. With --renew it also writes anew what the tests keep of that version.
+# Checks that the version in production (deploy/service.toml) can read the records
+# that this version writes before the switch to job chains, and vice versa. Each
+# version is run from its own code. With --renew it also replaces the records of the
+# production version that the tests use.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 root=$PWD
@@ -9,7 +10,7 @@
 work=$(mktemp -d)
 trap 'git worktree remove --force "$work/production"; rm -rf "$work"' EXIT
 git worktree add --quiet --detach "$work/production" "$production"
-# The tests' last form whose helpers that version has.
+# The newest revision of the tests that compiles with the helpers of that version.
 git show 0268155:cmd/heronwick/crossversion_test.go >"$work/production/cmd/heronwick/crossversion_test.go"
 
 HERONWICK_STORE_TO_WRITE="$work/new.json" go test -count=1 -run '^TestRecordsForAnotherVersion$' ./cmd/heronwick
--- a/tools/scale-site.awk
+++ b/tools/scale-site.awk
@@ -1,9 +1,11 @@
-# Scales a site file of the bench: machines, work, teams and the controllers' means,
-# all by the same factor. For trials with far more machines:
+# Scales a site file of the bench for trials with far more machines: machines, jobs,
+# teams, the controllers' resources, and the rate limits of the state service and the
+# cloud, all by the same factor.
 #
 #   awk -v factor=3.12 -f tools/scale-site.awk SITE.toml > LARGE.toml
 #
-# Days keep their troubles as they are, but for the state service's lower rate. A controller has at most one core.
+# The faults of days are not scaled, except for the lowered write rate of the state
+# service. A controller gets at most one core.
 function scaled(line, digits,   parts) {
 	split(line, parts, " = ")
 	return parts[1] " = " sprintf("%." digits "f", parts[2] * factor)
