--- a/internal/cluster/ownership.go
+++ b/internal/cluster/ownership.go
@@ -162,7 +162,7 @@
 
 // NewTransfer returns the write that makes node the owner of machines, a map from
 // their names to their records. If node is "", the write marks the machines as
-// returned to the cloud. ok is false if the node is not a member.
+// released, that is, returned to the cloud. ok is false if the node is not a member.
 func (c *Cluster) NewTransfer(node string, machines map[string]json.RawMessage) (write TransferWrite, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/detector/worker.go
+++ b/internal/detector/worker.go
@@ -33,8 +33,8 @@
 
 // RecordUnsolicited records that an unsolicited heartbeat has arrived. fresh is whether it
 // is newer than everything known about the worker. On a slow link, the answer to a later
-// probe can overtake a heartbeat. Such a heartbeat brings no news but still counts, as
-// long as it is not a duplicate: otherwise the heartbeats of the worker would be
+// probe can overtake a heartbeat. Such a heartbeat contains nothing new but still counts,
+// as long as it is not a duplicate: otherwise the heartbeats of the worker would be
 // considered missing, although they reach this controller.
 func (w *Worker) RecordUnsolicited(heartbeat *wire.Heartbeat, fresh bool, now time.Time) {
 	if fresh || heartbeat.Incarnation == w.Incarnation && heartbeat.Seq > w.lastUnsolicitedSeq {
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -107,7 +107,7 @@
 }
 
 // endJobLocked removes a job that has ended and stops its tasks. stopBy is when the
-// tasks must be gone if the job was not completed.
+// tasks must be gone, unless the job is done.
 func (s *Scheduler) endJobLocked(id string, outcome job.Outcome, stopBy time.Time) {
 	queued := s.jobs[id]
 	if queued != nil {
@@ -134,7 +134,7 @@
 // stopTasksOnLocked stops the tasks of an ended job that are on one machine.
 func (s *Scheduler) stopTasksOnLocked(m *machine, id string, outcome job.Outcome, stopBy time.Time) {
 	if outcome.State == wire.JobDone {
-		stopBy = time.Time{} // no time is promised for the tasks of a completed job
+		stopBy = time.Time{} // no time is promised for the tasks of a done job
 	}
 	touched := false
 	for _, a := range m.Attempts.All() {
--- a/internal/scheduler/loadshedding.go
+++ b/internal/scheduler/loadshedding.go
@@ -13,7 +13,7 @@
 	// idle machines.
 	shedInterval = 5 * time.Second
 	// overloadHoldTime is how long a controller counts as overloaded after a shortage of
-	// processor time. If idle machines changed owner at each short shortage, they would
+	// processor time. If idle machines changed owner at each brief shortage, they would
 	// be in transfer for most of the time, owned by no controller.
 	overloadHoldTime = time.Minute
 )
--- a/internal/scheduler/machinewatch.go
+++ b/internal/scheduler/machinewatch.go
@@ -61,9 +61,10 @@
 
 // resignIfPartitionedLocked gives up leadership if the workers that this controller
 // cannot reach send their heartbeats to another controller. Soon after an election
-// all workers still do that, so then more workers must have gone there than this
-// controller reaches. Without this rule, when many machines were gone for good, one
-// leader after the other resigned and none led for long enough to detect that.
+// all workers still do that, so then it resigns only if more workers send their
+// heartbeats there than it reaches. Without this rule, when many machines had failed
+// permanently, one leader after the other resigned and none led for long enough to
+// detect that.
 func (s *Scheduler) resignIfPartitionedLocked(assessment *detector.Assessment, now time.Time) {
 	if !s.detector.Partitioned() || !s.leadsLocked() || now.Sub(s.resignedAt) <= electionSettleTime {
 		return
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -126,9 +126,9 @@
 	return now.Sub(queued.ImageWaitSince) < imageWaitTimeout
 }
 
-// placeLocked assigns a task to a machine under a new attempt number. Numbers rise with
-// each placement, also across controllers and restarts, because their high bits are the
-// fencing token.
+// placeLocked assigns a task to a machine under a new attempt number. Numbers increase
+// with each placement, also across controllers and restarts, because their high bits are
+// the fencing token.
 func (s *Scheduler) placeLocked(queued *queue.Job, index int, m *machine, now time.Time) *fleet.Attempt {
 	a := s.newAttempt(queued, index)
 	m.Add(a, now)
--- a/internal/scheduler/rebuild_test.go
+++ b/internal/scheduler/rebuild_test.go
@@ -39,7 +39,7 @@
 }
 
 // Tasks of a cancelled job that may still run count for the next owner of its team,
-// though no scheduler gains the job. The team's limit was exceeded (rule quota) when
+// even if no scheduler gains the job. The team's limit was exceeded (rule quota) when
 // a team was at its limit, machines were unreachable, a job was cancelled and the
 // leader changed.
 func TestTasksOfEndedJobsCountForNextOwner(t *testing.T) {
--- a/internal/scheduler/tokensync.go
+++ b/internal/scheduler/tokensync.go
@@ -29,7 +29,7 @@
 // tokenSync is the part of a takeover that follows the rebuild: the scheduler's
 // fencing token is sent to the workers of the adopted machines.
 type tokenSync struct {
-	unsynced []*machine    // machines whose workers are yet to be sent the token
+	unsynced []*machine    // machines whose workers have not been sent the token yet
 	requests int           // number of requests in flight
 	rate     *rate.Limiter // limits the requests
 	paused   bool          // whether requests pause for tokenRequestPause
