--- a/internal/queue/order.go
+++ b/internal/queue/order.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// starvationFactor is how many times its longest objective (or time to deadline, if
-// longer) a late job may wait behind jobs of the same priority that can still finish in
-// time.
+// starvationFactor bounds how long a late job waits behind jobs of the same priority
+// that can still finish in time: this many times its longest objective, or its time
+// to the deadline if that is longer.
 const starvationFactor = 10
 
 // MaxStartDelay is the time within which the tasks of any job must have started,
