--- a/internal/standin/checker.go
+++ b/internal/standin/checker.go
@@ -9,19 +9,21 @@
 	"heronwick/wire"
 )
 
-// Checker verifies the protocol's rules from outside: it sees what users are answered and
-// what runs on machines, and nothing of the controllers. Its limits are set before use;
-// its methods are safe for concurrent use.
+// Checker verifies the rules of the protocol from outside: it sees the requests and responses
+// of users, the commands to workers and the tasks on machines, but no state inside the
+// controllers. Its exported fields are set before use; its methods are safe for concurrent
+// use.
 type Checker struct {
-	// TeamQuotas are the teams' quotas in CPUs; a team that is not listed has none.
+	// TeamQuotas are the quotas of the teams in CPUs; a team that is not listed has none.
 	TeamQuotas map[string]float64
-	// CancelTimeout is how long after its user was told so a cancelled job's tasks must be
-	// gone; 0: not checked.
+	// CancelTimeout is how long the tasks of a job may keep running after a response first
+	// reported the job as cancelled; 0 disables the check.
 	CancelTimeout time.Duration
-	// NoStartAfter is how long after its user was told so no controller may command a start
-	// of a cancelled job any more; 0: not checked.
+	// NoStartAfter is how long controllers may still command starts of a job's tasks after a
+	// response first reported the job as cancelled; 0 disables the check.
 	NoStartAfter time.Duration
-	// Types are the machine types, one of which an accepted job must fit; nil: not checked.
+	// Types are the machine types. An accepted job must fit at least one of them; nil disables
+	// the check.
 	Types []wire.MachineType
 
 	mu         sync.Mutex
@@ -31,48 +33,48 @@
 	violations []string
 }
 
-// rule is a rule of the protocol that a Checker verifies. It begins a violation's text.
+// rule is a rule of the protocol that a Checker verifies. A violation's text begins with it.
 type rule string
 
-// The rules.
 const (
 	ruleAccepted     rule = "accepted"      // only jobs that can run are accepted
-	ruleForgotten    rule = "forgotten"     // accepted jobs stay known
-	ruleInvented     rule = "invented"      // only submitted jobs are known
-	ruleWentBack     rule = "went_back"     // final states stay, and users alone cancel
-	ruleOrphaned     rule = "orphaned"      // a job ends after one that it depends on is cancelled
-	ruleNotDone      rule = "not_done"      // a job is done only after all its tasks
-	ruleRanTwice     rule = "ran_twice"     // a task runs on one machine at a time
-	ruleRanCancelled rule = "ran_cancelled" // tasks of a cancelled job stop in time
-	ruleTooEarly     rule = "too_early"     // a job starts only after those that it depends on
+	ruleForgotten    rule = "forgotten"     // an accepted job is never reported as unknown or invalid
+	ruleInvented     rule = "invented"      // a state is reported only for submitted jobs
+	ruleWentBack     rule = "went_back"     // final states never change, and jobs are cancelled only if a user requests it
+	ruleOrphaned     rule = "orphaned"      // a job ends in time after a job that it depends on is cancelled
+	ruleNotDone      rule = "not_done"      // a job is done only after all its tasks are done
+	ruleRanTwice     rule = "ran_twice"     // a task runs on at most one machine at a time
+	ruleRanCancelled rule = "ran_cancelled" // tasks of a cancelled job stop in time and are not started again
+	ruleTooEarly     rule = "too_early"     // a job starts only after the jobs that it depends on are done
 	ruleWrongPlace   rule = "wrong_place"   // a task runs on a machine that its job allows
 	ruleQuota        rule = "quota"         // a team's running tasks stay within its quota
 )
 
-// Location is a machine that a task runs on.
+// Location is a machine on which a task runs, with the properties that jobs can restrict.
 type Location struct {
 	Machine, Type, Zone string
 	Spot                bool
 }
 
-// trackedJob is what users were told of a job, and what its tasks did.
+// trackedJob is the state of one job according to users' requests, their responses and the
+// tasks that ran.
 type trackedJob struct {
-	job             wire.Job // zero until submitted
-	submitted       bool
-	accepted        bool
-	cancelRequested bool
-	reported        wire.JobState // as users were last told
-	cancelled       time.Time     // when its user was first told so; zero: never
-	done            map[string]bool
-	dependencies    []*trackedJob
+	job              wire.Job // zero until submitted
+	submitted        bool
+	accepted         bool
+	cancelRequested  bool
+	lastReported     wire.JobState   // in the last response to a user
+	cancelReportedAt time.Time       // when a response first reported the job as cancelled; zero if none did
+	done             map[string]bool // IDs of the tasks that are done
+	dependencies     []*trackedJob
 }
 
-// isDone reports whether all tasks of the job have ended well.
+// isDone reports whether all tasks of the job are done.
 func (j *trackedJob) isDone() bool { return len(j.done) >= j.job.Tasks }
 
-// anyDependency reports whether a condition holds for the job or any job that it depends on,
-// directly or not.
-func (j *trackedJob) anyDependency(condition func(*trackedJob) bool) bool {
+// selfOrAnyDependency reports whether a condition holds for the job or for any of its direct
+// or indirect dependencies.
+func (j *trackedJob) selfOrAnyDependency(condition func(*trackedJob) bool) bool {
 	seen := map[*trackedJob]bool{j: true}
 	for queue := []*trackedJob{j}; len(queue) > 0; queue = queue[1:] {
 		if condition(queue[0]) {
@@ -88,19 +90,19 @@
 	return false
 }
 
-// wasCancelRequested reports whether a user has cancelled the job itself.
+// wasCancelRequested reports whether a user has requested the cancellation of the job itself.
 func wasCancelRequested(j *trackedJob) bool { return j.cancelRequested }
 
-// NewChecker returns a Checker that has seen nothing and checks no limit.
+// NewChecker returns a Checker without quotas, timeouts or machine types.
 func NewChecker() *Checker {
 	return &Checker{jobs: map[string]*trackedJob{}, running: map[string]Location{}, starts: map[string]int{}}
 }
 
-func (c *Checker) violateLocked(broken rule, format string, args ...any) {
-	c.violations = append(c.violations, string(broken)+": "+fmt.Sprintf(format, args...))
+func (c *Checker) recordViolationLocked(violated rule, format string, args ...any) {
+	c.violations = append(c.violations, string(violated)+": "+fmt.Sprintf(format, args...))
 }
 
-// Violations returns a text for each violation so far, in the form RULE: DESCRIPTION.
+// Violations returns the violations found so far, each in the form RULE: DESCRIPTION.
 func (c *Checker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,7 +127,7 @@
 	return c.starts[task]
 }
 
-// Job returns the job of a task; nil if no user has submitted it.
+// Job returns the job of a task, or nil if no user has submitted it.
 func (c *Checker) Job(task string) *wire.Job {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,8 +137,8 @@
 	return nil
 }
 
-// jobLocked returns what is known of a job, and begins to track it.
-func (c *Checker) jobLocked(id string) *trackedJob {
+// trackedJobLocked returns the state of a job, and starts to track the job if it is new.
+func (c *Checker) trackedJobLocked(id string) *trackedJob {
 	j := c.jobs[id]
 	if j == nil {
 		j = &trackedJob{done: map[string]bool{}}
--- a/internal/standin/checker_placeable.go
+++ b/internal/standin/checker_placeable.go
@@ -7,16 +7,15 @@
 	"heronwick/wire"
 )
 
-// Headroom is what a machine has room for, and the tasks on it.
+// Headroom is the free resources of a machine and the tasks placed on it.
 type Headroom struct {
 	Location
 	CPUs, MemoryGB float64
 	Tasks          []string
 }
 
-// PlaceableTasks returns, for each job that could run, its first task that is on no machine though
-// one of the given machines has room for it. The tasks on the machines must belong to
-// submitted jobs.
+// PlaceableTasks returns, for each job that can run, its first unplaced task if one of the
+// given machines has room for it. All tasks on the machines must belong to submitted jobs.
 func (c *Checker) PlaceableTasks(machines []Headroom) (waiting []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,15 +40,16 @@
 	return waiting
 }
 
-// isReady reports whether the job's tasks may run: it is accepted and not over, no user has
-// cancelled it or a job that it depends on, and those are done.
+// isReady reports whether the job's tasks may run: the job is accepted and has not ended, all
+// jobs that it depends on are done, and no user has requested the cancellation of the job or
+// of one that it depends on.
 func (j *trackedJob) isReady() bool {
 	blocked := slices.ContainsFunc(j.dependencies, func(dependency *trackedJob) bool { return !dependency.isDone() })
-	return j.accepted && !j.reported.Final() && !blocked && !j.anyDependency(wasCancelRequested)
+	return j.accepted && !j.lastReported.Final() && !blocked && !j.selfOrAnyDependency(wasCancelRequested)
 }
 
-// placeableLocked returns the first task of a job that is neither placed nor done and that
-// one of the machines would take.
+// placeableLocked returns the first task of a job that is neither placed nor done, and whether
+// one of the machines has room for it.
 func (c *Checker) placeableLocked(id string, j *trackedJob, machines []Headroom, placed map[string]bool) (task string, found bool) {
 	hasRoom := func(machine Headroom) bool {
 		return j.job.CPUs <= machine.CPUs && j.job.MemoryGB <= machine.MemoryGB && c.allowsLocked(j, id, machine.Location)
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -10,15 +10,15 @@
 	"heronwick/wire"
 )
 
-// SetCloudOutage makes the cloud unavailable, or ends that.
+// SetCloudOutage starts or ends an outage of the cloud.
 func (f *Fleet) SetCloudOutage(down bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cloudDown = down
 }
 
-// HoldRentals holds rentals back, without an answer. Ending that carries them out late:
-// machines that no controller expects.
+// HoldRentals starts or stops holding back rental requests, whose callers get no response.
+// Stopping carries out the held requests late, which adds machines that no controller expects.
 func (f *Fleet) HoldRentals(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -31,22 +31,22 @@
 	}
 }
 
-// HoldReturns holds returns back, without an answer, until ReleaseReturns. Ending that lets
-// later ones pass.
+// HoldReturns starts or stops holding back return requests, whose callers get no response.
+// Stopping affects only later requests; those already held back wait for ReleaseReturns.
 func (f *Fleet) HoldReturns(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.holdReturns = on
 }
 
-// HeldReturns returns the machines whose returns are held back.
+// HeldReturns returns the machines of the return requests that are held back.
 func (f *Fleet) HeldReturns() (machines []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Concat(f.heldReturns...)
 }
 
-// ReleaseReturns carries out the returns that were held back.
+// ReleaseReturns carries out the return requests that are held back.
 func (f *Fleet) ReleaseReturns() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -56,27 +56,27 @@
 	f.heldReturns = nil
 }
 
-// RentRequestCounts returns how often each rental was requested, by its request's name.
+// RentRequestCounts returns how often each rental was requested, by request ID.
 func (f *Fleet) RentRequestCounts() map[string]int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return maps.Clone(f.rentRequests)
 }
 
-// stallTime is how long the cloud keeps a caller waiting while it stalls, whatever the
-// caller's context: about as long as a real client's timeout.
+// stallTime is how long a request to the stalled cloud blocks, regardless of the caller's
+// context. It is about as long as the timeout of a real client.
 const stallTime = 15 * time.Second
 
-// StallCloud makes the cloud keep its callers waiting, without an answer in the end, or
-// ends that.
+// StallCloud starts or ends a stall of the cloud, in which requests block for stallTime and
+// get no response.
 func (f *Fleet) StallCloud(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cloudStalled = on
 }
 
-// checkCloud returns cloud.ErrUnavailable while the cloud is down, and after a pause while
-// it stalls.
+// checkCloud returns cloud.ErrUnavailable during an outage and, after stallTime, during a
+// stall.
 func (f *Fleet) checkCloud() error {
 	f.mu.Lock()
 	stalled := f.cloudStalled
@@ -93,11 +93,11 @@
 	return nil
 }
 
-// Cloud returns the cloud that rents the fleet's machines.
+// Cloud returns the cloud that rents out the fleet's machines.
 func (f *Fleet) Cloud() *Cloud { return &Cloud{f} }
 
-// Cloud is a fake of the cloud's interface. While it is down or stalls, requests return
-// cloud.ErrUnavailable.
+// Cloud is a fake of the cloud's API. Its requests return cloud.ErrUnavailable during an
+// outage or a stall.
 type Cloud struct{ fleet *Fleet }
 
 // Types returns the machine types.
@@ -105,8 +105,9 @@
 	return c.fleet.Types, c.fleet.checkCloud()
 }
 
-// Rent rents machines and returns their names; repeating a request name rents nothing
-// twice. It returns cloud.ErrNoCapacity if no machine is left.
+// Rent rents machines and returns their names. A repeated request ID returns the machines of
+// the first rental instead of renting more. If no machine can be added, Rent returns
+// cloud.ErrNoCapacity.
 func (c *Cloud) Rent(_ context.Context, req wire.RentRequest) ([]string, error) {
 	f := c.fleet
 	if err := f.checkCloud(); err != nil {
@@ -126,7 +127,8 @@
 	return names, nil
 }
 
-// rentLocked carries out a rental, or returns the machines of an earlier one of that name.
+// rentLocked carries out a rental, or returns the machines of an earlier one with the same
+// request ID.
 func (f *Fleet) rentLocked(req wire.RentRequest) (names []string) {
 	if names, ok := f.rented[req.RequestID]; ok {
 		return names
@@ -147,7 +149,7 @@
 	return names
 }
 
-// Return returns machines; those that are gone are ignored.
+// Return returns machines to the cloud; it ignores machines that no longer exist.
 func (c *Cloud) Return(_ context.Context, machines []string) error {
 	f := c.fleet
 	if err := f.checkCloud(); err != nil {
@@ -163,7 +165,7 @@
 	return nil
 }
 
-// returnLocked removes machines and notes those that existed.
+// returnLocked removes machines and adds those that existed to ReturnedMachines.
 func (f *Fleet) returnLocked(machines []string) {
 	for _, name := range machines {
 		if f.removeLocked(name) {
@@ -172,7 +174,7 @@
 	}
 }
 
-// List returns the machines, in no order.
+// List returns the machines in no particular order.
 func (c *Cloud) List(context.Context) ([]wire.Machine, error) {
 	f := c.fleet
 	if err := f.checkCloud(); err != nil {
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -9,18 +9,18 @@
 	"heronwick/wire"
 )
 
-// LinkFrom returns the workers as one controller reaches them.
+// LinkFrom returns a controller's connection to the workers.
 func (f *Fleet) LinkFrom(node string) *Link { return &Link{f, node} }
 
-// Link is one controller's connection to the workers. A request that is not answered
-// returns an error when its context ends.
+// Link is one controller's connection to the workers. A request that gets no response returns
+// an error when its context ends.
 type Link struct {
 	fleet *Fleet
 	node  string
 }
 
-// blocked reports whether no message passes between the controller and a worker; if so it
-// waits until ctx ends.
+// blocked reports whether the controller and a worker cannot exchange messages. If so, it
+// returns only when ctx ends, like a request that times out.
 func (l *Link) blocked(ctx context.Context, address string) bool {
 	l.fleet.mu.Lock()
 	w := l.fleet.workers[address]
@@ -32,11 +32,11 @@
 	return blocked
 }
 
-// Command sends commands to a worker and returns its status after them, as a heartbeat.
+// Command sends commands to a worker and returns its resulting status, as a heartbeat.
 func (l *Link) Command(ctx context.Context, address string, req *wire.CommandRequest) (*wire.Heartbeat, error) {
 	l.fleet.Checker.ObserveCommands(req.Commands)
 	if l.blocked(ctx, address) {
-		return nil, errNoAnswer
+		return nil, errNoWorkerResponse
 	}
 	return l.fleet.command(ctx, address, req)
 }
@@ -44,16 +44,16 @@
 // Status requests a worker's status, as a heartbeat.
 func (l *Link) Status(ctx context.Context, address string) (*wire.Heartbeat, error) {
 	if l.blocked(ctx, address) {
-		return nil, errNoAnswer
+		return nil, errNoWorkerResponse
 	}
 	return l.fleet.status(ctx, address)
 }
 
-// errNoAnswer is returned for a request that a worker does not answer.
-var errNoAnswer = errors.New("standin: no answer from the worker")
+// errNoWorkerResponse is returned for a request to which a worker does not respond.
+var errNoWorkerResponse = errors.New("standin: no response from the worker")
 
-// command delivers commands. Delayed or held back, they also arrive after the caller has
-// given up.
+// command delivers commands to a worker. Commands that are delayed or held back arrive even
+// after the caller has given up.
 func (f *Fleet) command(ctx context.Context, address string, req *wire.CommandRequest) (*wire.Heartbeat, error) {
 	delay := f.messageDelay(address)
 	time.Sleep(time.Millisecond + delay)
@@ -66,10 +66,10 @@
 	if w == nil || w.disconnected || w.dropInbound || w.holdCommands || w.paused {
 		f.mu.Unlock()
 		<-ctx.Done()
-		return nil, errNoAnswer
+		return nil, errNoWorkerResponse
 	}
 	defer f.mu.Unlock()
-	w.commandLocked(req)
+	w.applyCommandRequestLocked(req)
 	w.sequence++
 	return w.heartbeatLocked(), nil
 }
@@ -82,7 +82,7 @@
 	if w == nil || w.disconnected || w.dropInbound || w.paused {
 		f.mu.Unlock()
 		<-ctx.Done()
-		return nil, errNoAnswer
+		return nil, errNoWorkerResponse
 	}
 	defer f.mu.Unlock()
 	w.sequence++
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -15,43 +15,44 @@
 // errNoResponse is returned for a request whose response is dropped.
 var errNoResponse = errors.New("standin: no response")
 
-// State is an in-memory fake of the consensus-backed key-value store. Its exported limits
-// are set before use, and its counters are read when nothing uses it; its methods are safe
-// for concurrent use.
+// State is an in-memory fake of the consensus-backed key-value store. Its exported limits are
+// set before use, and its counters may be read only while nothing uses it; its methods are
+// safe for concurrent use.
 type State struct {
-	// Requests counts the requests that reached the store; Writes the changes of the
-	// transactions that it carried out or refused as too large.
+	// Requests counts the requests that reached the store; Writes counts the changes of its
+	// transactions, whatever their outcome.
 	Requests, Writes int
-	// RequestRate and WriteRate are the limits of requests and of changes a second, with
-	// bursts of a second's worth; RequestRate 0: none. RateLimited counts the requests above
-	// them.
+	// RequestRate and WriteRate limit the requests and changes per second, with a burst of one
+	// second's worth; a RequestRate of 0 disables both limits. RateLimited counts the requests
+	// that exceeded them.
 	RequestRate, WriteRate float64
 	RateLimited            int
-	// MaxValueBytes and MaxTxnOps are the limits of a value's size and of a transaction's
-	// changes; 0: none. TooLarge counts the transactions above them.
+	// MaxValueBytes and MaxTxnOps limit the size of a value and the number of changes in a
+	// transaction; 0 means no limit. TooLarge counts the transactions that exceeded a limit.
 	MaxValueBytes, MaxTxnOps int
 	TooLarge                 int
 
-	mu        sync.Mutex
-	revision  uint64
-	items     map[string]wire.Item // by key
-	events    []wire.Event         // all changes, the oldest first
-	changed   chan struct{}        // closed and replaced at each change
-	leases    map[uint64]*lease    // by ID
-	lastLease uint64               // ID
+	mu          sync.Mutex
+	revision    uint64
+	items       map[string]wire.Item // by key
+	events      []wire.Event         // all changes, oldest first
+	changed     chan struct{}        // closed and replaced at each change
+	leases      map[uint64]*lease    // by ID
+	lastLeaseID uint64
 
-	// Requests and changes taken of the burst, as of when it was last refilled.
-	requestsTaken, writesTaken float64
-	refilled                   time.Time
+	// Fill levels of the leaky buckets behind RequestRate and WriteRate, and when they were
+	// last updated.
+	requestLevel, writeLevel float64
+	levelsUpdatedAt          time.Time
 
 	// Faults.
 	outage           bool
 	rejectedNodes    map[string]bool
 	responseDelay    time.Duration
-	dropResponses    int // how many of the next transactions get no response
-	holdTransactions int // how many of the next transactions are held back
+	dropResponses    int // number of upcoming transactions whose responses are dropped
+	holdTransactions int // number of upcoming transactions that are held back
 	heldTransactions []wire.Txn
-	applied          []wire.Txn // the last ones that were carried out, to be replayed
+	applied          []wire.Txn // the last transactions that were carried out, for ReplayTransactions
 }
 
 // NewState returns an empty store without limits.
@@ -59,21 +60,21 @@
 	return &State{items: map[string]wire.Item{}, leases: map[uint64]*lease{}, changed: make(chan struct{}), rejectedNodes: map[string]bool{}}
 }
 
-// Count returns how many keys there are.
+// Count returns the number of keys.
 func (s *State) Count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.items)
 }
 
-// Get returns a key's value; nil if it does not exist.
+// Get returns a key's value, or nil if the key does not exist.
 func (s *State) Get(key string) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.items[key].Value
 }
 
-// Items returns the items whose keys begin with a prefix, in no order.
+// Items returns the items whose keys begin with a prefix, in no particular order.
 func (s *State) Items(prefix string) []wire.Item {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +87,8 @@
 	return items
 }
 
-// Put writes a key unconditionally and returns its version. The value is encoded as JSON.
+// Put writes a key unconditionally, with the JSON encoding of a value, and returns its new
+// version.
 func (s *State) Put(key string, value any) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,14 +96,14 @@
 	return reply.Revision
 }
 
-// Version returns a key's version; 0 if it does not exist.
+// Version returns a key's version, or 0 if the key does not exist.
 func (s *State) Version(key string) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.items[key].Version
 }
 
-// listLocked returns the items that a listing asks for, by key.
+// listLocked returns the items that a list request selects, sorted by key.
 func (s *State) listLocked(query url.Values) wire.ItemList {
 	list := wire.ItemList{Items: []wire.Item{}, Revision: s.revision}
 	for key, item := range s.items {
@@ -113,7 +115,7 @@
 	return list
 }
 
-// encode returns the JSON form of a value, which must have one.
+// encode returns the JSON encoding of a value. It panics if the value cannot be encoded.
 func encode(value any) []byte {
 	text, err := json.Marshal(value)
 	if err != nil {
--- a/internal/standin/state_conn.go
+++ b/internal/standin/state_conn.go
@@ -13,7 +13,7 @@
 	"heronwick/wire"
 )
 
-// Connect returns the store as one node reaches it.
+// Connect returns a node's connection to the store.
 func (s *State) Connect(node string) *Conn { return &Conn{state: s, node: node} }
 
 // Conn is one node's connection to a State. It implements state.Transport.
@@ -22,8 +22,8 @@
 	node  string
 }
 
-// Do carries out one request and returns its response. errNoResponse means that it may
-// have been carried out.
+// Do carries out one request and returns its response. If it returns errNoResponse, the
+// request may still have been carried out.
 func (c *Conn) Do(ctx context.Context, method, target string, body []byte) (state.Response, error) {
 	response, err := c.do(ctx, method, target, body)
 	c.state.mu.Lock()
@@ -36,10 +36,11 @@
 	return response, err
 }
 
-// requestTime is how long the store takes for a request.
+// requestTime is how long the store takes to process a request.
 const requestTime = 5 * time.Millisecond
 
-// do carries out one request as the store would, with the faults that are set.
+// do carries out one request as the real store does, subject to the configured faults and
+// limits.
 func (c *Conn) do(ctx context.Context, method, target string, body []byte) (state.Response, error) {
 	s := c.state
 	u, err := url.Parse(target)
@@ -69,7 +70,8 @@
 	return s.routeLocked(method, u, body, txn)
 }
 
-// routeLocked carries out a request that was let through, by its method and path.
+// routeLocked carries out a request that no fault or rate limit rejected, according to its
+// method and path.
 func (s *State) routeLocked(method string, u *url.URL, body []byte, txn wire.Txn) (state.Response, error) {
 	switch {
 	case method == http.MethodPost && u.Path == wire.PathTxn:
@@ -86,8 +88,8 @@
 	return state.Response{Status: http.StatusBadRequest}, nil
 }
 
-// txnRequestLocked carries out a transaction unless it is to be held back, and drops
-// its response if responses are to be dropped.
+// txnRequestLocked carries out a transaction, or holds it back while HoldTransactions is in
+// effect. It drops the response while DropResponses is in effect.
 func (s *State) txnRequestLocked(txn wire.Txn) (state.Response, error) {
 	if s.holdTransactions > 0 {
 		s.holdTransactions--
@@ -102,7 +104,7 @@
 	return state.Response{Status: status, Body: encode(reply)}, nil
 }
 
-// getLocked answers a read of one key: its item, or 404 with the store's revision.
+// getLocked responds to a read of one key with its item, or with 404 and the store's revision.
 func (s *State) getLocked(key string) (state.Response, error) {
 	item, ok := s.items[key]
 	if !ok {
--- a/internal/standin/state_faults.go
+++ b/internal/standin/state_faults.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// LowerLimits sets the limits of a value's size and of a transaction's changes, and resets
-// TooLarge. Larger values that are stored stay readable.
+// LowerLimits sets MaxValueBytes and MaxTxnOps, and resets TooLarge. Stored values that are
+// larger stay readable.
 func (s *State) LowerLimits(valueBytes, ops int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.MaxValueBytes, s.MaxTxnOps, s.TooLarge = valueBytes, ops, 0
 }
 
-// SetOutage starts or ends an outage, in which requests are answered 503, watches stay open
-// without events, and no lease expires. When it is over, every lease has its full TTL
+// SetOutage starts or ends an outage. During an outage, requests get status 503, watches stay
+// open without events, and no lease expires. At its end the full TTL of every lease starts
 // again.
 func (s *State) SetOutage(on bool) {
 	s.mu.Lock()
@@ -29,30 +29,30 @@
 	}
 }
 
-// RejectNode answers the requests of one node with 503, or serves it again. Its watches stay
-// open, without events.
+// RejectNode starts or stops rejecting the requests of one node with status 503. Meanwhile the
+// node's watches stay open without events.
 func (s *State) RejectNode(node string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rejectedNodes[node] = on
 }
 
-// DropResponses carries out the next n transactions without a response.
+// DropResponses carries out the next n transactions but drops their responses.
 func (s *State) DropResponses(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dropResponses = n
 }
 
-// HoldTransactions holds back the next n transactions, without a response.
+// HoldTransactions holds back the next n transactions, whose senders get no response.
 func (s *State) HoldTransactions(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.holdTransactions = n
 }
 
-// ReleaseTransactions carries out the transactions that were held back, and returns their
-// HTTP statuses, which no caller sees.
+// ReleaseTransactions carries out the transactions that are held back, and returns their HTTP
+// statuses, which their senders do not see.
 func (s *State) ReleaseTransactions() []int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,10 +65,11 @@
 	return statuses
 }
 
-// maxReplayed bounds the transactions that can be replayed.
-const maxReplayed = 100
+// maxReplayedTransactions is the maximum number of transactions that ReplayTransactions
+// repeats.
+const maxReplayedTransactions = 100
 
-// ReplayTransactions carries out again the last transactions that were carried out.
+// ReplayTransactions repeats the most recent transactions that were carried out.
 func (s *State) ReplayTransactions() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,7 +78,8 @@
 	}
 }
 
-// DelayResponses delays every response after its request is carried out; 0 ends that.
+// DelayResponses delays each response after its request has been carried out; 0 ends the
+// delay.
 func (s *State) DelayResponses(delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/state_lease.go
+++ b/internal/standin/state_lease.go
@@ -11,26 +11,26 @@
 	"heronwick/wire"
 )
 
-// lease is a lease of the store; its keys are removed when the timer fires.
+// lease is a lease of the store. Its keys are deleted when the timer fires.
 type lease struct {
 	ttl   time.Duration
 	timer *time.Timer
 }
 
-// grantLeaseLocked grants a lease of the requested TTL, which expires unless renewed.
+// grantLeaseLocked grants a lease with the requested TTL, which expires unless it is renewed.
 func (s *State) grantLeaseLocked(body []byte) (state.Response, error) {
 	var req wire.LeaseRequest
 	if json.Unmarshal(body, &req) != nil {
 		return state.Response{Status: http.StatusBadRequest}, nil
 	}
-	s.lastLease++
-	id, ttl := s.lastLease, time.Duration(req.TTLMs)*time.Millisecond
-	s.leases[id] = &lease{ttl: ttl, timer: time.AfterFunc(ttl, func() { s.expire(id) })}
+	s.lastLeaseID++
+	id, ttl := s.lastLeaseID, time.Duration(req.TTLMs)*time.Millisecond
+	s.leases[id] = &lease{ttl: ttl, timer: time.AfterFunc(ttl, func() { s.expireLease(id) })}
 	return state.Response{Status: http.StatusOK, Body: encode(wire.Lease{ID: id})}, nil
 }
 
-// renewLeaseLocked restarts the TTL of the lease whose ID is in the path; 404 once it has
-// expired.
+// renewLeaseLocked restarts the TTL of the lease whose ID is in the path. It responds with 404
+// if the lease has expired.
 func (s *State) renewLeaseLocked(path string) (state.Response, error) {
 	id, _ := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64)
 	l := s.leases[id]
@@ -41,8 +41,8 @@
 	return state.Response{Status: http.StatusOK, Body: []byte("{}")}, nil
 }
 
-// expire removes a lease and its keys.
-func (s *State) expire(id uint64) {
+// expireLease deletes a lease and its keys.
+func (s *State) expireLease(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leases[id] == nil {
--- a/internal/standin/state_watch.go
+++ b/internal/standin/state_watch.go
@@ -14,8 +14,9 @@
 	"heronwick/wire"
 )
 
-// watch answers a watch: the events after a revision, or none once its time is over. It
-// stays open, without events, while its node is rejected or the store has an outage.
+// watch serves a watch request: it returns the events after a revision, or none after the
+// requested wait time. While its node is rejected or the store has an outage, the request
+// stays open without events.
 func (s *State) watch(ctx context.Context, node string, query url.Values) (state.Response, error) {
 	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
 	milliseconds, _ := strconv.Atoi(query.Get("wait_ms"))
@@ -36,8 +37,9 @@
 	}
 }
 
-// eventsSince returns the events after a revision whose keys begin with a prefix, as far as
-// a node may see them, and a channel that is closed at the next change.
+// eventsSince returns the events after a revision whose keys begin with a prefix, and a
+// channel that is closed at the next change. There are no events for a rejected node or during
+// an outage.
 func (s *State) eventsSince(after uint64, node, prefix string) (found wire.Events, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
