--- a/cmd/failovertest/handler.go
+++ b/cmd/failovertest/handler.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// serveMachines answers a request to the machine service: 503 if there is no capacity, 504
-// if the answer is lost or the request cannot be decoded.
+// serveMachines serves a request to the machine service. It responds with 503 if there is no
+// capacity, and with 504 if the response is lost or the request cannot be decoded.
 func serveMachines(request *fasthttp.RequestCtx, proxy *failovertest.Proxy) {
 	reply, err := machinesReply(request, proxy)
 	switch {
--- a/cmd/failovertest/main.go
+++ b/cmd/failovertest/main.go
@@ -1,6 +1,6 @@
-// Command failovertest forces handovers of single duties between real processes over
-// loopback, and checks every action that a fake machine service accepts. It pauses and
-// kills only processes that it has started itself. See docs/duties.md.
+// Command failovertest forces handovers of single duties between real processes over loopback,
+// and checks every action that a fake machine service accepts. It pauses and kills only
+// processes that it started itself. See docs/duties.md.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	"heronwick/internal/standin"
 )
 
-// arguments are the commands of the command line.
+// arguments are the commands of the program.
 type arguments struct {
 	Run  runCommand  `cmd:"" default:"withargs" help:"Force handovers and report which actions were accepted (the default)."`
 	Node nodeCommand `cmd:"" name:"member" hidden:"" help:"Run one controller; started by the other command."`
@@ -24,24 +24,25 @@
 
 // runCommand forces handovers.
 type runCommand struct {
-	Handovers int           `help:"How many handovers." default:"1000"`
-	Groups    int           `help:"Groups of three controllers that run side by side." default:"8"`
-	Lease     time.Duration `help:"Lease of the duties." default:"1s"`
-	Pace      time.Duration `help:"Time between two actions of a controller." default:"20ms"`
+	Handovers int           `help:"Number of handovers." default:"1000"`
+	Groups    int           `help:"Number of groups of three controllers, which run in parallel." default:"8"`
+	Lease     time.Duration `help:"Lease duration of the duties." default:"1s"`
+	Pace      time.Duration `help:"Mean time between two actions of a controller." default:"20ms"`
 	Seed      uint64        `help:"Seed for the choice of holders, freeze points and faults." default:"1"`
-	Unfenced  bool          `help:"Turn duties off, to show what they prevent."`
+	Unfenced  bool          `help:"Turn duties off, to show the stale actions that they prevent."`
 }
 
 const (
 	// machinesPerGroup is the capacity of each group's machine service.
 	machinesPerGroup = 30
-	// timeoutLeases is the timeout of a handover, in leases.
-	timeoutLeases = 10
-	// settleTime is given to each group after its last handover.
+	// handoverTimeoutLeases is the timeout of a handover, as a multiple of the lease.
+	handoverTimeoutLeases = 10
+	// settleTime is how long each group has to complete open intents after its last handover.
 	settleTime = 30 * time.Second
-	// seedsPerGroup separates the seeds of different groups and of their nodes.
+	// seedsPerGroup is the distance between the seeds of groups, which leaves room for the
+	// seeds of their nodes.
 	seedsPerGroup = 1000
-	// maxFindings is how many stale actions are printed.
+	// maxFindings is the maximum number of stale actions that are printed.
 	maxFindings = 5
 )
 
@@ -51,10 +52,10 @@
 	command.FatalIfErrorf(command.Run())
 }
 
-// Run runs all groups side by side and prints the sum of their results. With duties on it
+// Run runs all groups in parallel and prints the sum of their results. With duties on it
 // returns a checkFailedError if a check failed.
 func (r *runCommand) Run() error {
-	began := time.Now()
+	startedAt := time.Now()
 	results := make([]failovertest.Result, r.Groups)
 	var groups errgroup.Group
 	for i := range r.Groups {
@@ -70,25 +71,25 @@
 	for _, result := range results {
 		total.Add(result)
 	}
-	r.print(total, time.Since(began))
+	r.print(total, time.Since(startedAt))
 	if !r.Unfenced && total.Checks.Stale+total.OpenIntents+total.TimedOut > 0 {
 		return checkFailedError{Stale: total.Checks.Stale, OpenIntents: total.OpenIntents, TimedOut: total.TimedOut}
 	}
 	return nil
 }
 
-// checkFailedError reports a failover test with duties on that accepted stale actions,
-// left intents open or had handovers that timed out.
+// checkFailedError reports that a failover test with duties on accepted stale actions, left
+// intents open or had handovers that timed out.
 type checkFailedError struct {
 	Stale, OpenIntents, TimedOut int
 }
 
-// Error gives the counts of each failure.
+// Error returns the number of failures of each kind.
 func (e checkFailedError) Error() string {
 	return fmt.Sprintf("failover check failed: %d stale actions, %d open intents, %d handovers timed out", e.Stale, e.OpenIntents, e.TimedOut)
 }
 
-// dutyLease returns the lease of the controllers' duties; 0: duties are off.
+// dutyLease returns the lease of the controllers' duties, or 0 if duties are off.
 func (r *runCommand) dutyLease() time.Duration {
 	if r.Unfenced {
 		return 0
@@ -96,7 +97,7 @@
 	return r.Lease
 }
 
-// runGroup runs one group's part of the handovers.
+// runGroup runs one group, which takes its share of the handovers.
 func (r *runCommand) runGroup(seed uint64) (failovertest.Result, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -107,7 +108,7 @@
 	coordinator := failovertest.Coordinator{
 		State: state, Checker: checker, Seed: seed, Fenced: !r.Unfenced,
 		Start:           func(name string) (failovertest.Controller, error) { return nodes.start(ctx, name) },
-		HandoverTimeout: timeoutLeases * r.Lease, ActionInterval: r.Pace, SettleTime: settleTime,
+		HandoverTimeout: handoverTimeoutLeases * r.Lease, ActionInterval: r.Pace, SettleTime: settleTime,
 	}
 	return coordinator.Run(r.Handovers / r.Groups)
 }
--- a/internal/failovertest/checker.go
+++ b/internal/failovertest/checker.go
@@ -12,11 +12,12 @@
 	"heronwick/wire"
 )
 
-// Keys of the store. The checker names them itself, independently of the code under test.
+// Keys in the store. The checker declares them itself, so that it does not depend on the code
+// under test.
 const (
 	clusterPrefix    = "cluster/"
 	epochKey         = clusterPrefix + "epoch"
-	workPrefix       = clusterPrefix + "work/" // by machine; the key exists while work is placed on it
+	workPrefix       = clusterPrefix + "work/" // followed by a machine name; the key exists while work is placed on the machine
 	reclaimHolderKey = "cluster/duty/holder/reclaim/fleet"
 	rentHolderKey    = "cluster/duty/holder/rent/fleet"
 	returnPrefix     = "cluster/duty/condemned/"
@@ -26,14 +27,15 @@
 // CheckCounts counts the actions that a Checker accepted.
 type CheckCounts struct {
 	Returned, Rented int // machines
-	// Late counts the actions accepted from a controller that was no longer the holder.
+	// Late counts the accepted actions of controllers that were no longer the holder.
 	Late int
-	// AfterRefusal counts the late rentals under a request that was refused for lack of
-	// capacity before. The cloud allows it to be repeated, and its intent may be closed
-	// since it was answered; the successor finds the machines in the cloud's list.
+	// AfterRefusal counts the late rentals whose request was refused for lack of capacity
+	// before. The cloud allows such a request to be repeated, and its intent may be closed
+	// already because the refusal was a response. The successor finds the machines in the
+	// cloud's list.
 	AfterRefusal int
-	// Stale counts the other late actions that no intent in the store covers, and returns
-	// of machines on which work was placed after the intent.
+	// Stale counts the other late actions without an intent in the store, and the returns of
+	// machines on which work was placed after the intent.
 	Stale    int
 	Findings []string // a description of each stale action
 }
@@ -53,21 +55,21 @@
 type Checker struct {
 	state    *standin.State
 	capacity int
-	fenced   bool // duties are on; otherwise the epoch alone tells who may act
+	fenced   bool // duties are on; otherwise only the epoch's leader may act
 
-	mu       sync.Mutex
-	machines map[string]bool
-	answered map[string][]string // machines rented, by request name
-	refused  map[string]bool     // request names that were refused for lack of capacity
-	counts   CheckCounts
+	mu              sync.Mutex
+	machines        map[string]bool
+	rentedByRequest map[string][]string // machine names by request ID
+	refusedRequests map[string]bool     // IDs of requests that were refused for lack of capacity
+	counts          CheckCounts
 }
 
-// NewChecker returns a Checker for a fleet of at most capacity machines. fenced tells
-// whether duties are on.
+// NewChecker returns a Checker for a fleet of at most capacity machines; fenced means that
+// duties are on.
 func NewChecker(state *standin.State, capacity int, fenced bool) *Checker {
 	return &Checker{
 		state: state, capacity: capacity, fenced: fenced,
-		machines: map[string]bool{}, answered: map[string][]string{}, refused: map[string]bool{},
+		machines: map[string]bool{}, rentedByRequest: map[string][]string{}, refusedRequests: map[string]bool{},
 	}
 }
 
@@ -78,7 +80,7 @@
 	return c.counts
 }
 
-// list returns the machines that are rented, sorted by name.
+// list returns the rented machines, sorted by name.
 func (c *Checker) list() (machines []wire.Machine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,34 +90,34 @@
 	return machines
 }
 
-// rent carries out a rental that a controller has sent, and returns the machines' names;
-// none if there is no capacity.
+// rent carries out a rental that a controller requests, and returns the names of the machines,
+// or none if there is no capacity.
 func (c *Checker) rent(sender string, req wire.RentRequest) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if names, ok := c.answered[req.RequestID]; ok {
+	if names, ok := c.rentedByRequest[req.RequestID]; ok {
 		return names
 	}
 	names := c.addMachinesLocked(req.Count)
 	if len(names) == 0 {
-		c.refused[req.RequestID] = true
+		c.refusedRequests[req.RequestID] = true
 		return nil
 	}
-	c.answered[req.RequestID] = names
-	if c.replaced(sender, rentHolderKey) {
+	c.rentedByRequest[req.RequestID] = names
+	if c.wasReplaced(sender, rentHolderKey) {
 		c.counts.Late++
 		switch {
-		case c.firstRevisionNaming(rentalPrefix, req.RequestID) > 0:
-		case c.refused[req.RequestID]:
+		case c.firstVersionContaining(rentalPrefix, req.RequestID) > 0:
+		case c.refusedRequests[req.RequestID]:
 			c.counts.AfterRefusal++
 		default:
-			c.recordStaleLocked("%s, replaced, rented %v without an intent", sender, names)
+			c.recordStaleLocked("%s rented %v without an intent after it was replaced", sender, names)
 		}
 	}
 	return names
 }
 
-// addMachinesLocked adds up to count machines, as many as the capacity allows.
+// addMachinesLocked adds up to count machines within the capacity.
 func (c *Checker) addMachinesLocked(count int) (names []string) {
 	for len(names) < count && len(c.machines) < c.capacity {
 		c.counts.Rented++
@@ -126,23 +128,23 @@
 	return names
 }
 
-// returnMachines carries out a return that a controller has sent.
+// returnMachines carries out a return that a controller requests.
 func (c *Checker) returnMachines(sender string, machines []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	replaced := c.replaced(sender, reclaimHolderKey)
+	wasReplaced := c.wasReplaced(sender, reclaimHolderKey)
 	for _, name := range machines {
 		if !c.machines[name] {
 			continue // already returned
 		}
 		delete(c.machines, name)
 		c.counts.Returned++
-		if replaced {
+		if wasReplaced {
 			c.counts.Late++
 		}
-		switch recorded := c.firstRevisionNaming(returnPrefix, name); {
-		case replaced && recorded == 0:
-			c.recordStaleLocked("%s, replaced, returned %s without an intent", sender, name)
+		switch recorded := c.firstVersionContaining(returnPrefix, name); {
+		case wasReplaced && recorded == 0:
+			c.recordStaleLocked("%s returned %s without an intent after it was replaced", sender, name)
 		case c.state.Version(workPrefix+name) > recorded:
 			c.recordStaleLocked("%s returned %s after work was placed on it", sender, name)
 		}
@@ -154,16 +156,17 @@
 	c.counts.Findings = append(c.counts.Findings, fmt.Sprintf(format, args...))
 }
 
-// replaced reports whether a sender is not the one that a holder record in the store names.
-func (c *Checker) replaced(sender, holderKey string) bool {
+// wasReplaced reports whether a holder record in the store names a controller other than the
+// sender. With duties off, the record is the epoch.
+func (c *Checker) wasReplaced(sender, holderKey string) bool {
 	if !c.fenced {
 		holderKey = epochKey
 	}
 	return holderOf(c.state, holderKey) != sender
 }
 
-// holderOf returns the node that a record in the store names: the holder of a duty, or
-// the leader of the epoch.
+// holderOf returns the node that a record in the store names: the holder of a duty or the
+// leader of the epoch.
 func holderOf(state *standin.State, key string) string {
 	var record struct {
 		Node   string `json:"node"`
@@ -173,9 +176,9 @@
 	return record.Node + record.Leader
 }
 
-// firstRevisionNaming returns the lowest version of the keys below a prefix whose values
-// contain a name; 0 if there is none.
-func (c *Checker) firstRevisionNaming(prefix, name string) (revision uint64) {
+// firstVersionContaining returns the lowest version among the keys with a prefix whose values
+// contain a name, or 0 if there is none.
+func (c *Checker) firstVersionContaining(prefix, name string) (revision uint64) {
 	for _, item := range c.state.Items(prefix) {
 		if strings.Contains(string(item.Value), `"`+name+`"`) && (revision == 0 || item.Version < revision) {
 			revision = item.Version
--- a/internal/failovertest/coordinator.go
+++ b/internal/failovertest/coordinator.go
@@ -10,15 +10,15 @@
 	"heronwick/internal/standin"
 )
 
-// Controller is a node under test, in this process or in a process of its own.
+// Controller is a controller under test, in this process or in a process of its own.
 type Controller interface {
-	// Arm makes it freeze when it next reaches a point.
+	// Arm makes the controller freeze the next time it reaches a point.
 	Arm(at FreezePoint)
-	// Frozen reports whether it is frozen.
+	// Frozen reports whether the controller is frozen.
 	Frozen() bool
-	// Resume lets it go on, or disarms it.
+	// Resume lets a frozen controller continue, or disarms one that is not frozen.
 	Resume()
-	// Kill ends it for good.
+	// Kill ends the controller permanently.
 	Kill()
 }
 
@@ -26,34 +26,35 @@
 type Coordinator struct {
 	State   *standin.State
 	Checker *Checker
-	// Start starts a controller of a name that was never used.
+	// Start starts a controller under a name that has not been used before.
 	Start           func(name string) (Controller, error)
-	Seed            uint64        // of the choices of holders, freeze points and pauses
+	Seed            uint64        // for the random choice of holders, freeze points and pauses
 	Fenced          bool          // duties are on
-	HandoverTimeout time.Duration // the longest wait for a freeze, and for a handover
+	HandoverTimeout time.Duration // maximum wait for a freeze, and for a handover
 	ActionInterval  time.Duration // mean time between two actions of a controller
-	SettleTime      time.Duration // after the last handover, to complete open intents
+	SettleTime      time.Duration // for open intents to be completed after the last handover
 
-	epoch       epoch
-	random      *rand.Rand
-	controllers map[string]Controller
-	frozen      []string // earlier leaders that are resumed after later handovers
-	result      Result
+	epoch         epoch
+	random        *rand.Rand
+	controllers   map[string]Controller
+	frozenLeaders []string // previous leaders that are resumed after later handovers
+	result        Result
 }
 
 const (
 	// nodesPerGroup is how many controllers run at once.
 	nodesPerGroup = 3
-	// maxFrozen is how many earlier leaders stay frozen during a handover.
-	maxFrozen = 1
-	// maxPause is the longest pause after a handover, in action intervals.
-	maxPause = 20
-	// pollInterval is how often a condition that is waited for is checked.
+	// maxFrozenLeaders is how many previous leaders may stay frozen during a handover.
+	maxFrozenLeaders = 1
+	// maxPauseIntervals is the longest pause after a handover, as a multiple of the action
+	// interval.
+	maxPauseIntervals = 20
+	// pollInterval is how often waitUntil checks its condition.
 	pollInterval = 5 * time.Millisecond
 )
 
-// Run forces handovers and returns what they have shown. It fails only if a controller
-// cannot be started.
+// Run forces handovers and returns the result. It returns an error only if a controller cannot
+// be started.
 func (c *Coordinator) Run(handovers int) (Result, error) {
 	c.random = rand.New(rand.NewPCG(c.Seed, 3))
 	c.epoch.Nodes, c.controllers = map[string]uint64{}, map[string]Controller{}
@@ -63,7 +64,7 @@
 		}
 	}
 	c.elect(c.candidates("")[0], false)
-	c.awaitHolder(c.epoch.Leader)
+	c.waitForHolder(c.epoch.Leader)
 	for range handovers {
 		if err := c.handOver(); err != nil {
 			return Result{}, err
@@ -75,9 +76,9 @@
 	return c.result, nil
 }
 
-// settle resumes every controller and gives them time to complete what was begun.
+// settle resumes all controllers and gives them time to complete open intents.
 func (c *Coordinator) settle() {
-	for _, name := range c.frozen {
+	for _, name := range c.frozenLeaders {
 		c.controllers[name].Resume()
 	}
 	c.epoch.Quiet = true
@@ -97,16 +98,16 @@
 	return nil
 }
 
-// candidates lists, in order, the nodes of the epoch that are not frozen, without excluded.
+// candidates returns the nodes of the epoch in sorted order, except those that are frozen and
+// the excluded one.
 func (c *Coordinator) candidates(excluded string) []string {
 	return slices.DeleteFunc(slices.Sorted(maps.Keys(c.epoch.Nodes)), func(member string) bool {
-		return member == excluded || slices.Contains(c.frozen, member)
+		return member == excluded || slices.Contains(c.frozenLeaders, member)
 	})
 }
 
-// elect writes an epoch in which a controller is the leader. Nodes that are new, or were
-// removed in an earlier epoch, become members; the previous leader is removed if remove is
-// set.
+// elect writes an epoch with the given leader. Nodes that are new or were removed in an
+// earlier epoch become members. If remove is set, the previous leader is removed.
 func (c *Coordinator) elect(leader string, remove bool) {
 	for member, since := range c.epoch.Nodes {
 		if since == 0 && member != c.epoch.Leader {
@@ -120,8 +121,9 @@
 	c.State.Put(epochKey, c.epoch)
 }
 
-// handOver freezes the holder at a random point of an action, has another controller take
-// over, and then releases the previous leader.
+// handOver freezes the holder at a random point of an action and elects another controller.
+// After a random pause it resumes or replaces the previous leader, or leaves it frozen for
+// now.
 func (c *Coordinator) handOver() error {
 	holder, at := c.epoch.Leader, FreezePoint(c.random.IntN(int(NumFreezePoints)))
 	c.controllers[holder].Arm(at)
@@ -132,53 +134,53 @@
 	}
 	others := c.candidates(holder)
 	next, remove := others[c.random.IntN(len(others))], c.random.IntN(2) == 0
-	began := time.Now()
+	startedAt := time.Now()
 	c.elect(next, remove)
-	held := c.awaitHolder(next)
-	c.result.addHandover(held, remove, time.Since(began))
-	time.Sleep(time.Duration(c.random.Int64N(int64(maxPause * c.ActionInterval))))
-	return c.releasePreviousLeader(holder)
+	held := c.waitForHolder(next)
+	c.result.addHandover(held, remove, time.Since(startedAt))
+	time.Sleep(time.Duration(c.random.Int64N(int64(maxPauseIntervals * c.ActionInterval))))
+	return c.resumeOrReplaceLeader(holder)
 }
 
-// What becomes of a previous leader, one in three each.
+// What happens to a previous leader: one of these outcomes, with equal probability.
 const (
-	resumeAtOnce = iota
-	killForGood
+	resumeImmediately = iota
+	killAndReplace
 	resumeLater
-	numReleases
+	numLeaderOutcomes
 )
 
-// releasePreviousLeader resumes the previous leader, at once or after a later handover, or
-// replaces it by a new controller.
-func (c *Coordinator) releasePreviousLeader(holder string) error {
-	switch c.random.IntN(numReleases) {
-	case resumeAtOnce:
+// resumeOrReplaceLeader resumes the previous leader, immediately or after a later handover, or
+// kills it and starts a new controller.
+func (c *Coordinator) resumeOrReplaceLeader(holder string) error {
+	switch c.random.IntN(numLeaderOutcomes) {
+	case resumeImmediately:
 		c.controllers[holder].Resume()
-	case killForGood:
+	case killAndReplace:
 		c.controllers[holder].Kill()
 		delete(c.epoch.Nodes, holder)
 		if err := c.startNode(); err != nil {
 			return err
 		}
 	case resumeLater:
-		c.frozen = append(c.frozen, holder)
+		c.frozenLeaders = append(c.frozenLeaders, holder)
 	}
-	for len(c.frozen) > maxFrozen {
-		c.controllers[c.frozen[0]].Resume()
-		c.frozen = c.frozen[1:]
+	for len(c.frozenLeaders) > maxFrozenLeaders {
+		c.controllers[c.frozenLeaders[0]].Resume()
+		c.frozenLeaders = c.frozenLeaders[1:]
 	}
 	return nil
 }
 
-// awaitHolder waits until a controller holds the duties for the fleet, and returns false
-// if it does not in time. With duties off there is nothing to wait for.
-func (c *Coordinator) awaitHolder(name string) bool {
+// waitForHolder waits until a controller holds the duties of the fleet, and returns false if
+// this takes longer than HandoverTimeout. With duties off it returns true immediately.
+func (c *Coordinator) waitForHolder(name string) bool {
 	return !c.Fenced || c.waitUntil(func() bool {
 		return holderOf(c.State, rentHolderKey) == name && holderOf(c.State, reclaimHolderKey) == name
 	})
 }
 
-// waitUntil waits until a condition is true, and returns false if it is not within
+// waitUntil waits until a condition is true, and returns false if this takes longer than
 // HandoverTimeout.
 func (c *Coordinator) waitUntil(condition func() bool) bool {
 	for deadline := time.Now().Add(c.HandoverTimeout); !condition(); time.Sleep(pollInterval) {
--- a/internal/failovertest/node.go
+++ b/internal/failovertest/node.go
@@ -20,55 +20,56 @@
 // epoch is the stored value of the epoch.
 type epoch struct {
 	Leader string `json:"leader"`
-	// Nodes gives the version of the epoch since which each node is a member; 0: it is none.
+	// Nodes maps each node to the version of the epoch since which it has been a member; 0 if
+	// it is not a member.
 	Nodes map[string]uint64 `json:"members"`
-	// Quiet tells nodes to complete what was begun and to begin nothing.
+	// Quiet makes nodes complete open intents without starting new actions.
 	Quiet bool `json:"quiet"`
 }
 
-// Machines is the machine service: a Provider that also lists its machines.
-type Machines interface {
+// MachineService is the machine service: a Provider that also lists its machines.
+type MachineService interface {
 	duty.Provider
-	// List returns the machines that are rented.
+	// List returns the rented machines.
 	List(ctx context.Context) ([]wire.Machine, error)
 }
 
 // NodeOptions configure a Node.
 type NodeOptions struct {
 	Name           string
-	Lease          time.Duration // 0: duties are off
+	Lease          time.Duration // of the duties; 0 means that duties are off
 	State          state.Transport
-	Provider       Machines
-	Seed           uint64        // of the node's choices, and its incarnation
+	Provider       MachineService
+	Seed           uint64        // for the node's random choices; also its incarnation
 	ActionInterval time.Duration // mean time between two actions
 	Log            *slog.Logger
 }
 
-// Node is a small controller. While it leads it rents machines, places work on them and
-// returns them.
+// Node is a small controller. While it is the leader it rents machines, places work on them
+// and returns them.
 type Node struct {
-	opts    NodeOptions
-	client  *state.Client
-	ledger  *duty.RecordCache
-	keeper  *duty.Manager
-	actions *duty.Actions
-	random  *rand.Rand
-	rented  int // requests made, for their names
+	opts         NodeOptions
+	client       *state.Client
+	cache        *duty.RecordCache
+	manager      *duty.Manager
+	actions      *duty.Actions
+	random       *rand.Rand
+	requestsMade int // number of rental requests, used in their IDs
 
 	mu       sync.Mutex
 	epoch    epoch
 	version  uint64 // of the epoch
-	revision uint64 // everything in the store up to here has been seen
+	revision uint64 // of the store; events up to here have been applied
 }
 
-// Limits of the store, as in deployments but for the rate of requests.
+// Limits of the store. All but the rate are those of deployments.
 const (
-	maxChanges = 16      // of a transaction
-	valueBytes = 2 << 10 // of a value
-	unlimited  = 1000    // requests a second
+	maxChanges  = 16      // per transaction
+	valueBytes  = 2 << 10 // per value
+	requestRate = 1000    // requests and writes per second, so many that they do not limit the node
 )
 
-// Pauses before a failed request is repeated.
+// Delays before a failed request is retried.
 const (
 	watchRetryInterval  = 100 * time.Millisecond
 	returnRetryInterval = 200 * time.Millisecond
@@ -76,21 +77,21 @@
 
 // NewNode returns a Node that does nothing until Run is called.
 func NewNode(opts NodeOptions) *Node {
-	n := &Node{opts: opts, ledger: duty.NewRecordCache(opts.Log), random: rand.New(rand.NewPCG(opts.Seed, 1))}
-	n.client = state.NewClient(opts.State, state.NewBudget(unlimited, unlimited, maxChanges))
+	n := &Node{opts: opts, cache: duty.NewRecordCache(opts.Log), random: rand.New(rand.NewPCG(opts.Seed, 1))}
+	n.client = state.NewClient(opts.State, state.NewBudget(requestRate, requestRate, maxChanges))
 	history := duty.NewHistory()
-	n.keeper = duty.NewManager(duty.ManagerOptions{
-		Node: opts.Name, Incarnation: opts.Seed, Lease: opts.Lease, Store: n.client, RecordCache: n.ledger,
+	n.manager = duty.NewManager(duty.ManagerOptions{
+		Node: opts.Name, Incarnation: opts.Seed, Lease: opts.Lease, Store: n.client, RecordCache: n.cache,
 		Ready: func() bool { return true }, Membership: n.membership, MaxChanges: maxChanges, History: history, Log: opts.Log,
 	})
 	n.actions = duty.NewActions(duty.ActionsOptions{
-		Node: opts.Name, Provider: opts.Provider, Manager: n.keeper, RecordCache: n.ledger,
+		Node: opts.Name, Provider: opts.Provider, Manager: n.manager, RecordCache: n.cache,
 		Committer: state.NewCommitter(n.client, maxChanges), Membership: n.membership, MaxValueBytes: valueBytes, History: history, Log: opts.Log,
 	})
 	return n
 }
 
-// membership returns the epoch as the duties see it.
+// membership returns the epoch in the form that package duty uses.
 func (n *Node) membership() duty.Membership {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -100,23 +101,24 @@
 	}
 }
 
-// Run acts until ctx ends, and returns when all that it started has ended.
+// Run runs the node until ctx ends, and returns when all of its goroutines have ended.
 func (n *Node) Run(ctx context.Context) {
 	var group sync.WaitGroup
 	group.Go(func() { n.watch(ctx) })
-	group.Go(func() { _ = n.keeper.Run(ctx) })
+	group.Go(func() { _ = n.manager.Run(ctx) })
 	for wait.Sleep(ctx, n.nextPause()) {
 		n.step(ctx)
 	}
 	group.Wait()
 }
 
-// nextPause draws the pause before the next action: the interval, give or take half.
+// nextPause returns a random pause before the next action, between 0.5 and 1.5 times
+// ActionInterval.
 func (n *Node) nextPause() time.Duration {
 	return n.opts.ActionInterval/2 + time.Duration(n.random.Int64N(int64(n.opts.ActionInterval)))
 }
 
-// watch keeps the epoch and the ledger up to date until ctx ends.
+// watch keeps the epoch and the record cache up to date until ctx ends.
 func (n *Node) watch(ctx context.Context) {
 	for revision := uint64(0); ctx.Err() == nil; {
 		events, err := n.client.Watch(ctx, clusterPrefix, revision, state.WatchTimeout)
@@ -125,13 +127,13 @@
 			continue
 		}
 		revision = max(revision, events.Revision)
-		n.ledger.Apply(events.Events, revision)
+		n.cache.Apply(events.Events, revision)
 		n.apply(events.Events, revision)
-		n.keeper.TriggerReconcile()
+		n.manager.TriggerReconcile()
 	}
 }
 
-// apply takes the epoch from the events up to a revision.
+// apply updates the epoch from the events up to a revision.
 func (n *Node) apply(events []wire.Event, revision uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -144,14 +146,14 @@
 	}
 }
 
-// quiet reports whether the epoch wants nothing new begun.
+// quiet reports whether the epoch forbids new actions.
 func (n *Node) quiet() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.epoch.Quiet
 }
 
-// fence returns the condition that makes a write fail under a newer epoch.
+// fence returns the condition that makes a write fail once the epoch has changed.
 func (n *Node) fence() state.FencingCondition {
 	condition := n.membership().Epoch
 	return state.FencingCondition{Condition: condition, IsCurrent: func() bool { return n.membership().Epoch == condition }}
@@ -162,15 +164,15 @@
 	reclaimDuty = duty.ID{Name: duty.Reclaim, Scope: duty.Fleet}
 )
 
-// An action is drawn from so many values: one rents, the next ones up to returnAction return
-// a machine, and the others place work on one.
+// The next action is drawn from actionRange values: rentAction rents machines, the values up to
+// returnAction return a machine, and the others place work on a machine or remove it.
 const (
 	rentAction   = 0
 	returnAction = 2
-	actionDraws  = 5
+	actionRange  = 5
 )
 
-// step completes what earlier holders have begun, and then takes one action at random.
+// step completes the actions that earlier holders left open, and then takes one random action.
 func (n *Node) step(ctx context.Context) {
 	n.actions.CloseReturns(ctx, duty.ID{Name: duty.Cleanup, Scope: duty.Shard(n.opts.Name)}, func(string) bool { return true })
 	if !n.membership().IsLeader {
@@ -184,7 +186,7 @@
 	}
 	quiet := n.quiet()
 	machines, _ := n.opts.Provider.List(ctx)
-	switch action := n.random.IntN(actionDraws); {
+	switch action := n.random.IntN(actionRange); {
 	case quiet:
 	case action == rentAction || len(machines) == 0:
 		n.rentNew(ctx)
@@ -193,8 +195,8 @@
 	}
 }
 
-// useMachine returns a machine if that is wanted and it is idle. Otherwise it places work
-// on the machine, or removes the work placed there.
+// useMachine returns a machine if returnIdle is set and the machine is idle. If returnIdle is
+// not set, it places work on an idle machine or removes the work from a busy one.
 func (n *Node) useMachine(ctx context.Context, machine string, returnIdle bool) {
 	key, epochCondition := workPrefix+machine, n.fence().Condition
 	item, err := n.client.Get(ctx, state.Placement, key)
@@ -210,13 +212,14 @@
 	if idle {
 		change = wire.Change{Put: key, Value: json.RawMessage(`{}`)}
 	}
-	_, _ = n.client.Txn(ctx, state.Placement, wire.Txn{ // if it fails, the next action finds out
+	_, _ = n.client.Txn(ctx, state.Placement, wire.Txn{ // a later action reads the key again, so a failure needs no retry
 		If:   append(guard.Conditions(), epochCondition, wire.Condition{Key: key, Version: item.Version}),
 		Then: []wire.Change{change},
 	})
 }
 
-// reclaim records the return of machines and repeats it until it is answered.
+// reclaim records an intent to return machines, and repeats the return request until it gets a
+// response.
 func (n *Node) reclaim(ctx context.Context, machines []string) {
 	intent, err := n.actions.RecordReturn(ctx, reclaimDuty, n.fence(), machines, "idle")
 	if err != nil {
@@ -227,23 +230,24 @@
 	}
 }
 
-// maxRented is how many machines one request asks for at most.
-const maxRented = 3
+// maxMachinesPerRequest is the maximum number of machines in a rental request.
+const maxMachinesPerRequest = 3
 
-// rentNew records and sends a new request of machines.
+// rentNew records and sends a new rental request.
 func (n *Node) rentNew(ctx context.Context) {
 	guard, err := n.actions.Guard(rentDuty)
 	if err != nil {
 		return
 	}
-	n.rented++
-	request := wire.RentRequest{RequestID: fmt.Sprintf("%s-%d", n.opts.Name, n.rented), Type: "m", Zone: "z", Count: 1 + n.random.IntN(maxRented)}
+	n.requestsMade++
+	request := wire.RentRequest{RequestID: fmt.Sprintf("%s-%d", n.opts.Name, n.requestsMade), Type: "m", Zone: "z", Count: 1 + n.random.IntN(maxMachinesPerRequest)}
 	if open, err := n.actions.RecordRentals(ctx, guard, n.fence(), []wire.RentRequest{request}); err == nil {
 		n.rent(ctx, open)
 	}
 }
 
-// rent sends the requests of an open intent and closes it if all were answered.
+// rent sends the requests of an open intent, and closes the intent if all of them got a
+// response.
 func (n *Node) rent(ctx context.Context, open duty.OpenRental) {
 	guard, err := n.actions.Guard(rentDuty)
 	for _, request := range open.Requests {
--- a/internal/failovertest/proxy.go
+++ b/internal/failovertest/proxy.go
@@ -14,22 +14,23 @@
 	"heronwick/wire"
 )
 
-// FreezePoint is a point of a controller's action, as its requests show it.
+// FreezePoint is a point in a controller's action, identified by the request that the
+// controller sends there.
 type FreezePoint int
 
-// The points at which a controller can be frozen. A request that it has sent is carried
-// out once it is resumed, or after it was killed.
+// The points at which a controller can be frozen. A request that it has already sent is
+// carried out when the controller is resumed, or after it has been killed.
 const (
-	Reading           FreezePoint = iota // around a read of the store
-	BeforeWrite                          // before a transaction is sent
-	WriteUnanswered                      // the transaction is carried out, its answer not delivered
-	BeforeRequest                        // before a request to the machine service is sent
-	RequestUnanswered                    // the request is carried out, its answer not delivered
-	WhileClosing                         // around the removal of a key
-	NumFreezePoints                      // how many there are; no point itself
+	Reading               FreezePoint = iota // before or after a read of the store
+	BeforeWrite                              // before a transaction is sent
+	BeforeWriteResponse                      // after a transaction is carried out, before its response is delivered
+	BeforeRequest                            // before a request to the machine service is sent
+	BeforeRequestResponse                    // after the request is carried out, before its response is delivered
+	WhileClosing                             // before or after the deletion of a key
+	NumFreezePoints                          // number of points, not a point itself
 )
 
-// freezePointNames are the names of the points, by point.
+// freezePointNames are the names of the points.
 var freezePointNames = [NumFreezePoints]string{
 	"reading",
 	"before a write",
@@ -39,28 +40,29 @@
 	"while closing an intent",
 }
 
-// String returns the point's name.
+// String returns the name of the point.
 func (p FreezePoint) String() string { return freezePointNames[p] }
 
-// MaxDelay is the longest delay of a request that the Proxy delays.
+// MaxDelay bounds the delay of requests that the Proxy delays.
 const MaxDelay = 20 * time.Second
 
-// fault is what the Proxy does to a request to the machine service. Any value above
-// replyLost is no fault.
+// fault is what the Proxy does to a request to the machine service. Values above responseLost
+// mean no fault.
 type fault int
 
 const (
-	delayed    fault = iota // carried out late, and not answered
-	duplicated              // carried out at once and again late
-	replyLost               // carried out at once, and not answered
+	delayed      fault = iota // carried out late, without a response
+	duplicated                // carried out immediately and again late
+	responseLost              // carried out immediately, without a response
 )
 
-// faultDraws is how many values a fault is drawn from: three requests in sixteen fail.
-const faultDraws = 16
+// faultRange is the number of values from which a fault is drawn: three of sixteen requests
+// suffer one.
+const faultRange = 16
 
 // Proxy is a fault-injecting proxy through which one controller reaches the store and the
-// machine service. Some requests to the latter suffer a fault. Nothing passes while the
-// controller is frozen.
+// machine service. Some requests to the machine service suffer a fault. While the controller
+// is frozen, the proxy forwards nothing.
 type Proxy struct {
 	checker *Checker
 	node    string
@@ -69,18 +71,18 @@
 
 	mu     sync.Mutex
 	random *rand.Rand
-	armed  bool          // the controller is to be frozen at the point
-	at     FreezePoint   // when armed
-	resume chan struct{} // closed when the controller is resumed; nil: it is not frozen
+	armed  bool          // the controller freezes when it reaches the point
+	at     FreezePoint   // the point, if armed
+	resume chan struct{} // closed when the controller is resumed; nil if it is not frozen
 }
 
-// NewProxy returns the proxy of the controller called name. freeze pauses the controller
-// and is called under the Proxy's lock; seed determines the faults.
+// NewProxy returns the proxy of the controller with the given name. freeze pauses the
+// controller and is called while the Proxy's lock is held; seed determines the faults.
 func NewProxy(checker *Checker, name string, seed uint64, freeze func()) *Proxy {
 	return &Proxy{checker: checker, node: name, store: checker.state.Connect(name), freeze: freeze, random: rand.New(rand.NewPCG(seed, 2))}
 }
 
-// Arm makes the controller freeze when it next reaches a point.
+// Arm makes the controller freeze the next time it reaches a point.
 func (p *Proxy) Arm(at FreezePoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -94,7 +96,7 @@
 	return p.resume != nil
 }
 
-// Resume disarms the proxy and lets the requests pass that wait.
+// Resume disarms the proxy and lets waiting requests continue.
 func (p *Proxy) Resume() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,8 +107,8 @@
 	}
 }
 
-// pauseAt freezes the controller if it is to be frozen at a point, and waits while it is
-// frozen.
+// pauseAt freezes the controller if the proxy is armed for the point, and blocks while the
+// controller is frozen.
 func (p *Proxy) pauseAt(point FreezePoint) {
 	p.mu.Lock()
 	if p.armed && p.at == point && p.resume == nil {
@@ -120,19 +122,19 @@
 	}
 }
 
-// removalField is the JSON field of a wire.Change that removes a key.
-var removalField = []byte(`"drop"`)
+// deleteField is the JSON field of a wire.Change that deletes a key.
+var deleteField = []byte(`"drop"`)
 
-// freezePoints returns the points before and after a request to the store. Leases and
-// watches have none, but do not pass while the controller is frozen either.
+// freezePoints returns the points before and after a request to the store. Leases, lists and
+// watches have none; they still block while the controller is frozen.
 func freezePoints(target string, body []byte) (before, after FreezePoint) {
 	switch {
 	case target != wire.PathTxn && !strings.HasPrefix(target, wire.PathKeys+"/"):
 		return NumFreezePoints, NumFreezePoints
-	case bytes.Contains(body, removalField):
+	case bytes.Contains(body, deleteField):
 		return WhileClosing, WhileClosing
 	case target == wire.PathTxn:
-		return BeforeWrite, WriteUnanswered
+		return BeforeWrite, BeforeWriteResponse
 	}
 	return Reading, Reading
 }
@@ -146,11 +148,11 @@
 	return response, err
 }
 
-// deliver carries out a request to the machine service, with the fault that is drawn, and
-// reports whether it is answered.
+// deliver carries out a request to the machine service with a random fault, and reports
+// whether the controller gets a response.
 func (p *Proxy) deliver(carryOut func()) (answered bool) {
 	p.mu.Lock()
-	drawn, delay := fault(p.random.IntN(faultDraws)), time.Duration(p.random.Int64N(int64(MaxDelay)))
+	drawn, delay := fault(p.random.IntN(faultRange)), time.Duration(p.random.Int64N(int64(MaxDelay)))
 	p.mu.Unlock()
 	p.pauseAt(BeforeRequest)
 	if drawn == delayed || drawn == duplicated {
@@ -159,13 +161,13 @@
 	if drawn != delayed {
 		carryOut()
 	}
-	p.pauseAt(RequestUnanswered)
-	return drawn != delayed && drawn != replyLost
+	p.pauseAt(BeforeRequestResponse)
+	return drawn != delayed && drawn != responseLost
 }
 
-// Rent implements duty.Provider. A request without an answer is cloud.ErrUnavailable.
+// Rent implements duty.Provider. It returns cloud.ErrUnavailable if there is no response.
 func (p *Proxy) Rent(_ context.Context, req wire.RentRequest) ([]string, error) {
-	rented := make(chan []string, 2) // a duplicated request answers twice
+	rented := make(chan []string, 2) // a duplicated request writes two results
 	if !p.deliver(func() { rented <- p.checker.rent(p.node, req) }) {
 		return nil, cloud.ErrUnavailable
 	}
@@ -175,7 +177,7 @@
 	return nil, cloud.ErrNoCapacity
 }
 
-// Return implements duty.Provider. A request without an answer is cloud.ErrUnavailable.
+// Return implements duty.Provider. It returns cloud.ErrUnavailable if there is no response.
 func (p *Proxy) Return(_ context.Context, machines []string) error {
 	if !p.deliver(func() { p.checker.returnMachines(p.node, machines) }) {
 		return cloud.ErrUnavailable
--- a/internal/failovertest/result.go
+++ b/internal/failovertest/result.go
@@ -8,14 +8,14 @@
 	Checks    CheckCounts
 	// OpenIntents counts the intents that were still open at the end.
 	OpenIntents int
-	// AfterLeaseExpiry and AfterRemoval give, in seconds, how long each handover took from
-	// the election of the successor until it held the duties: when the previous holder
-	// stayed a member, so that its lease had to expire, and when it was removed from the
-	// epoch.
+	// AfterLeaseExpiry and AfterRemoval hold the time in seconds that each handover took, from
+	// the election of the successor until it held the duties. In AfterLeaseExpiry the previous
+	// holder stayed a member, so that its lease had to expire; in AfterRemoval it was removed
+	// from the epoch.
 	AfterLeaseExpiry, AfterRemoval []float64
 	// FrozenAt counts the handovers by the point at which the holder was frozen.
 	FrozenAt [NumFreezePoints]int
-	// TimedOut counts the handovers that did not complete within the timeout.
+	// TimedOut counts the handovers that took longer than the timeout.
 	TimedOut int
 }
 
@@ -32,8 +32,8 @@
 	r.Checks.add(other.Checks)
 }
 
-// addHandover adds one handover: whether the successor came to hold the duties, whether
-// the previous holder was removed from the epoch, and how long it took.
+// addHandover adds one handover: whether the successor acquired the duties in time, whether
+// the previous holder was removed from the epoch, and how long the handover took.
 func (r *Result) addHandover(held, removed bool, took time.Duration) {
 	switch {
 	case !held:
