--- a/internal/failovertest/checker.go
+++ b/internal/failovertest/checker.go
@@ -31,8 +31,8 @@
 	Late int
 	// AfterRefusal counts the late rentals whose request was refused for lack of capacity
 	// before. The cloud allows such a request to be repeated, and its intent may be closed
-	// already because the refusal was a response. The successor finds the machines in the
-	// cloud's list.
+	// already because the request got a response, the refusal. The successor finds the
+	// machines in the cloud's list.
 	AfterRefusal int
 	// Stale counts the other late actions without an intent in the store, and the returns of
 	// machines on which work was placed after the intent.
@@ -50,8 +50,8 @@
 	c.Findings = append(c.Findings, other.Findings...)
 }
 
-// Checker is a fake machine service. It carries out rentals and returns, and checks each
-// one that it accepts against the store. It is safe for concurrent use.
+// Checker is a fake machine service. It carries out rentals and returns, and checks each of
+// them against the store. It is safe for concurrent use.
 type Checker struct {
 	state    *standin.State
 	capacity int
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -95,15 +95,15 @@
 	return f.addLocked(f.Types[0], zones[f.machinesCreated%len(zones)], spot, 0)
 }
 
-// addLocked adds a machine whose worker runs after the boot time, and returns its name.
-func (f *Fleet) addLocked(machineType wire.MachineType, zone string, spot bool, boot time.Duration) string {
+// addLocked adds a machine whose worker runs once bootTime has passed, and returns its name.
+func (f *Fleet) addLocked(machineType wire.MachineType, zone string, spot bool, bootTime time.Duration) string {
 	f.machinesCreated++
 	w := &Worker{
 		fleet: f, name: fmt.Sprintf("host-%06d", f.machinesCreated), machineType: machineType, zone: zone, spot: spot,
 		nodeIndex: f.machinesCreated, incarnation: 1, tasks: map[string]*task{}, changed: make(chan struct{}, 1),
 	}
 	f.workers[w.name] = w
-	go w.run(boot)
+	go w.run(bootTime)
 	return w.name
 }
 
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -13,7 +13,7 @@
 )
 
 // errNoResponse is returned for a request whose response is dropped.
-var errNoResponse = errors.New("standin: no response")
+var errNoResponse = errors.New("standin: no response from the store")
 
 // State is an in-memory fake of the consensus-backed key-value store. Its exported limits are
 // set before use, and its counters may be read only while nothing uses it; its methods are
