--- a/cmd/heronwick/jobs_test.go
+++ b/cmd/heronwick/jobs_test.go
@@ -97,8 +97,8 @@
 }
 
 // Guards against a task that starts because its start command is delivered only after
-// its job was cancelled: the worker must reject the command, as the fencing token has been
-// raised since.
+// its job was cancelled: the worker must reject the command, because the fencing token has
+// been incremented since.
 func TestCancelWithLateStart(t *testing.T) {
 	withCluster(t, 1, nil, func(tc *testCluster) {
 		tc.fleet.HoldCommands(machineName(1), true)
--- a/cmd/heronwick/membership.go
+++ b/cmd/heronwick/membership.go
@@ -43,8 +43,8 @@
 	})
 }
 
-// runScheduler waits for the jobs and machine types to be loaded and then runs a
-// scheduler until ctx ends, which it does when this controller is no longer a member.
+// runScheduler waits until the jobs and machine types are loaded and then runs a
+// scheduler until ctx ends. ctx ends when this controller is no longer a member.
 func (c *controller) runScheduler(ctx context.Context, membership *cluster.Membership) error {
 	if err := c.machineTypes.WaitUntilLoaded(ctx); err != nil {
 		return err
--- a/cmd/heronwick/metrics.go
+++ b/cmd/heronwick/metrics.go
@@ -25,13 +25,13 @@
 		}
 	}
 	return []server.Gauge{
-		{Name: "heronwick_share_machines", Help: "Machines in this controller's share of the fleet.",
+		{Name: "heronwick_share_machines", Help: "Machines of this controller's share.",
 			Value: statusValue(func(s *peerpb.Status) float64 { return float64(s.Machines) })},
-		{Name: "heronwick_share_idle_machines", Help: "Usable machines in this controller's share that run no tasks.",
+		{Name: "heronwick_share_idle_machines", Help: "Usable machines of the share without tasks.",
 			Value: statusValue(func(s *peerpb.Status) float64 { return float64(s.Idle) })},
-		{Name: "heronwick_share_cpus", Help: "CPUs of the usable machines in this controller's share.",
+		{Name: "heronwick_share_cpus", Help: "CPUs of the share's usable machines.",
 			Value: statusValue(func(s *peerpb.Status) float64 { return s.Cpus })},
-		{Name: "heronwick_share_free_cpus", Help: "Free CPUs of the usable machines in this controller's share.",
+		{Name: "heronwick_share_free_cpus", Help: "Free CPUs of the share's usable machines.",
 			Value: statusValue(func(s *peerpb.Status) float64 { return s.FreeCpus })},
 	}
 }
@@ -39,11 +39,11 @@
 // membershipGauges returns the metrics of this controller's cluster membership.
 func (c *controller) membershipGauges() []server.Gauge {
 	return []server.Gauge{
-		{Name: "heronwick_token", Help: "Fencing token of the last epoch that this controller knows.",
+		{Name: "heronwick_token", Help: "Token of the epoch that this controller knows.",
 			Value: func() float64 { return float64(c.members.Token()) }},
-		{Name: "heronwick_feature_level", Help: "Recorded feature level that all controllers support; from 1 on jobs may depend on other jobs.",
+		{Name: "heronwick_feature_level", Help: "What all controllers support, as recorded; 1: jobs may need others.",
 			Value: func() float64 { return float64(c.members.FeatureLevel()) }},
-		{Name: "heronwick_permitted", Help: "1 while this controller may reply to worker heartbeats, otherwise 0.",
+		{Name: "heronwick_permitted", Help: "1 while this controller may answer workers.",
 			Value: func() float64 {
 				if c.members.CanAnswerHeartbeats() {
 					return 1
@@ -56,11 +56,11 @@
 // gauges returns the metrics of the dependency graphs of jobs.
 func (m *dagMonitor) gauges() []server.Gauge {
 	return []server.Gauge{
-		{Name: "heronwick_chains", Help: "Live chains, that is dependency graphs of jobs.",
+		{Name: "heronwick_chains", Help: "Chains of jobs that are live.",
 			Value: func() float64 { return float64(m.live.Load()) }},
-		{Name: "heronwick_chains_in_danger", Help: "Live chains whose last job is estimated to miss its deadline.",
+		{Name: "heronwick_chains_in_danger", Help: "Live chains whose last job misses its deadline by estimates.",
 			Value: func() float64 { return float64(m.inDanger.Load()) }},
-		{Name: "heronwick_chains_endangered", Help: "Chains that came into danger of missing their deadline since this controller started, of those whose last job it owns.",
+		{Name: "heronwick_chains_endangered", Help: "Chains that have come into danger since this controller started, of those whose last job is its own.",
 			Value: func() float64 { return float64(m.endangered.Load()) }},
 	}
 }
@@ -68,17 +68,17 @@
 // gauges returns the metrics of the single duties.
 func (d duties) gauges() []server.Gauge {
 	gauges := []server.Gauge{
-		{Name: "heronwick_duty_held", Help: "Single duties that this controller holds and may perform.",
+		{Name: "heronwick_duty_held", Help: "Single duties that this controller may act for.",
 			Value: func() float64 { return float64(d.manager.HeldCount()) }},
-		{Name: "heronwick_duty_open_condemnations", Help: "Open intents to return machines, of all controllers.",
+		{Name: "heronwick_duty_open_condemnations", Help: "Intents to return machines that are not closed, of all controllers.",
 			Value: func() float64 { return float64(d.recordCache.OpenIntents().Returns) }},
-		{Name: "heronwick_duty_open_rentals", Help: "Open intents to rent machines, of all controllers.",
+		{Name: "heronwick_duty_open_rentals", Help: "Intents to rent that are not closed, of all controllers.",
 			Value: func() float64 { return float64(d.recordCache.OpenIntents().Rentals) }},
 	}
 	for _, kind := range duty.EventKinds() {
 		gauges = append(gauges, server.Gauge{
 			Name:  "heronwick_duty_" + string(kind),
-			Help:  "Duty events of this kind at this controller since it started; see the operators' page.",
+			Help:  "Events of this kind at this controller since it started; see the operators' page.",
 			Value: func() float64 { return float64(d.history.Count(kind)) },
 		})
 	}
--- a/cmd/heronwick/random_test.go
+++ b/cmd/heronwick/random_test.go
@@ -286,8 +286,8 @@
 }
 
 // sendUnusualRequests sends invalid requests, requests for unknown jobs and a repeated
-// submission to one controller. The protocol requires prompt responses to them, whatever
-// other faults there are.
+// submission to one controller. The protocol requires prompt responses to them even during
+// other faults.
 func (r *randomRun) sendUnusualRequests() {
 	i := r.randomNode()
 	if r.nodes[i].current.Load() == nil {
--- a/internal/autoscale/idle.go
+++ b/internal/autoscale/idle.go
@@ -37,7 +37,7 @@
 	slices.SortFunc(idle, func(a, b IdleMachine) int { return a.Since.Compare(b.Since) })
 	surplus, keep := idle[:1], maxIdleTime
 	if !hasJobs() {
-		// No task needs a machine soon, so only the reserve is worth its price.
+		// While there are no jobs, only the reserve is worth its price.
 		surplus, keep = idle[:len(idle)-reserve], maxIdleTimeWithoutJobs
 	}
 	var names []string
--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -23,7 +23,7 @@
 type plan struct {
 	planner  *Planner
 	now      time.Time
-	machines []*plannedMachine // booting in time, or to be rented
+	machines []*plannedMachine // booting and not late, or to be rented
 	byZone   map[string]int    // number of machines by zone: in use, booting or to be rented
 	rented   int               // number of machines to be rented
 }
@@ -87,7 +87,7 @@
 // addReserve adds machines to rent until the reserve is complete: ordinary machines,
 // or spot machines if no ordinary ones can be rented.
 func (p *plan) addReserve(fleet Fleet) {
-	for lacking := p.lackingReserve(fleet); lacking > 0 && p.rented < maxRentalsPerPlan; {
+	for shortfall := p.reserveShortfall(fleet); shortfall > 0 && p.rented < maxRentalsPerPlan; {
 		// Ordinary machines come first, since they may run tasks of any job.
 		best := p.bestOption(&wire.Job{Tasks: 1}, placement.Resources{}, nil)
 		if best == nil {
@@ -97,14 +97,14 @@
 			return
 		}
 		p.rent(best)
-		lacking -= max(best.machineType.CPUs, 1)
+		shortfall -= max(best.machineType.CPUs, 1)
 	}
 }
 
-// lackingReserve returns how many free CPUs are missing from the reserve. The reserve is
+// reserveShortfall returns how many free CPUs are missing from the reserve. The reserve is
 // a fraction of the CPUs of all usable machines, and is kept for bursts of new tasks and
 // for the tasks of lost machines. Free CPUs of planned machines count towards it.
-func (p *plan) lackingReserve(fleet Fleet) float64 {
+func (p *plan) reserveShortfall(fleet Fleet) float64 {
 	if fleet.Usable == 0 {
 		return 0
 	}
--- a/internal/cloud/types.go
+++ b/internal/cloud/types.go
@@ -115,5 +115,5 @@
 		If:   []wire.Condition{{Key: typesKey}},
 		Then: []wire.Change{{Put: typesKey, Value: value}},
 	})
-	c.log.Debug("wrote machine types to the store", "err", err)
+	c.log.Debug("tried to write the machine types to the store", "err", err)
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -38,8 +38,7 @@
 	MaxConnections int     // number of sockets that the process may have open
 
 	// DutyLease is the duration of the lease of single duties, or 0 if they are
-	// disabled. It comes from a command-line flag, not from the
-	// settings file.
+	// disabled. It comes from a command-line flag, not from the settings file.
 	DutyLease time.Duration
 }
 
--- a/internal/server/routes_test.go
+++ b/internal/server/routes_test.go
@@ -10,7 +10,7 @@
 	"heronwick/wire"
 )
 
-// send passes a request without a body to s and returns the response.
+// send passes a request without a body to s and returns the status and the response.
 func send(s *Server, method, path string) (status int, response *fasthttp.Response) {
 	var request fasthttp.RequestCtx
 	request.Request.Header.SetMethod(method)
