--- a/cmd/failovertest/main.go
+++ b/cmd/failovertest/main.go
@@ -39,8 +39,8 @@
 	handoverTimeoutLeases = 10
 	// settleTime is how long each group has to complete open intents after its last handover.
 	settleTime = 30 * time.Second
-	// seedsPerGroup is the distance between the seeds of groups, which leaves room for the
-	// seeds of their nodes.
+	// seedsPerGroup is how many seeds each group has for its nodes. Each run has as many for its
+	// groups, so that no two groups and no two nodes have the same seed.
 	seedsPerGroup = 1000
 	// maxFindings is the maximum number of stale actions that are printed.
 	maxFindings = 5
--- a/cmd/failovertest/node.go
+++ b/cmd/failovertest/node.go
@@ -20,7 +20,8 @@
 	Seed    uint64
 }
 
-// requestRate is the limit of requests to the cloud per second, more than a controller sends.
+// requestRate is the limit of requests to the machine service per second, more than a
+// controller sends.
 const requestRate = 1000
 
 // Run runs the controller and does not return.
--- a/internal/failovertest/checker.go
+++ b/internal/failovertest/checker.go
@@ -31,7 +31,7 @@
 	Late int
 	// AfterRefusal counts the late rentals whose request was refused for lack of capacity
 	// before. The cloud allows such a request to be repeated, and its intent may be closed
-	// already because the request got a response, the refusal. The successor finds the
+	// already, because the refusal was a response to the request. The successor finds the
 	// machines in the cloud's list.
 	AfterRefusal int
 	// Stale counts the other late actions without an intent in the store, and the returns of
@@ -178,11 +178,11 @@
 
 // firstVersionContaining returns the lowest version among the keys with a prefix whose values
 // contain a name, or 0 if there is none.
-func (c *Checker) firstVersionContaining(prefix, name string) (revision uint64) {
+func (c *Checker) firstVersionContaining(prefix, name string) (lowest uint64) {
 	for _, item := range c.state.Items(prefix) {
-		if strings.Contains(string(item.Value), `"`+name+`"`) && (revision == 0 || item.Version < revision) {
-			revision = item.Version
+		if strings.Contains(string(item.Value), `"`+name+`"`) && (lowest == 0 || item.Version < lowest) {
+			lowest = item.Version
 		}
 	}
-	return revision
+	return lowest
 }
--- a/internal/failovertest/coordinator.go
+++ b/internal/failovertest/coordinator.go
@@ -101,17 +101,17 @@
 // candidates returns the nodes of the epoch in sorted order, except those that are frozen and
 // the excluded one.
 func (c *Coordinator) candidates(excluded string) []string {
-	return slices.DeleteFunc(slices.Sorted(maps.Keys(c.epoch.Nodes)), func(member string) bool {
-		return member == excluded || slices.Contains(c.frozenLeaders, member)
+	return slices.DeleteFunc(slices.Sorted(maps.Keys(c.epoch.Nodes)), func(node string) bool {
+		return node == excluded || slices.Contains(c.frozenLeaders, node)
 	})
 }
 
 // elect writes an epoch with the given leader. Nodes that are new or were removed in an
 // earlier epoch become members. If remove is set, the previous leader is removed.
 func (c *Coordinator) elect(leader string, remove bool) {
-	for member, since := range c.epoch.Nodes {
-		if since == 0 && member != c.epoch.Leader {
-			c.epoch.Nodes[member] = c.State.Version(epochKey) + 1
+	for node, since := range c.epoch.Nodes {
+		if since == 0 && node != c.epoch.Leader {
+			c.epoch.Nodes[node] = c.State.Version(epochKey) + 1
 		}
 	}
 	if remove {
--- a/internal/failovertest/proxy.go
+++ b/internal/failovertest/proxy.go
@@ -30,7 +30,7 @@
 	NumFreezePoints                          // number of points, not a point itself
 )
 
-// freezePointNames are the names of the points.
+// freezePointNames are the names of the points, which are printed in the result.
 var freezePointNames = [NumFreezePoints]string{
 	"reading",
 	"before a write",
@@ -150,7 +150,7 @@
 
 // deliver carries out a request to the machine service with a random fault, and reports
 // whether the controller gets a response.
-func (p *Proxy) deliver(carryOut func()) (answered bool) {
+func (p *Proxy) deliver(carryOut func()) (responded bool) {
 	p.mu.Lock()
 	drawn, delay := fault(p.random.IntN(faultRange)), time.Duration(p.random.Int64N(int64(MaxDelay)))
 	p.mu.Unlock()
@@ -185,5 +185,5 @@
 	return nil
 }
 
-// List implements Machines.
+// List implements MachineService.
 func (p *Proxy) List(context.Context) ([]wire.Machine, error) { return p.checker.list(), nil }
--- a/internal/standin/checker_placeable.go
+++ b/internal/standin/checker_placeable.go
@@ -16,7 +16,7 @@
 
 // PlaceableTasks returns, for each job that can run, its first unplaced task if one of the
 // given machines has room for it. All tasks on the machines must belong to submitted jobs.
-func (c *Checker) PlaceableTasks(machines []Headroom) (waiting []string) {
+func (c *Checker) PlaceableTasks(machines []Headroom) (placeable []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	placed, usedByTeam := map[string]bool{}, map[string]float64{}
@@ -34,10 +34,10 @@
 			continue
 		}
 		if task, ok := c.placeableLocked(id, j, machines, placed); ok {
-			waiting = append(waiting, task)
+			placeable = append(placeable, task)
 		}
 	}
-	return waiting
+	return placeable
 }
 
 // isReady reports whether the job's tasks may run: the job is accepted and has not ended, all
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -73,7 +73,7 @@
 	f.isolated[node] = on
 }
 
-// Terminate removes a machine permanently, without a notice.
+// Terminate removes a machine permanently, without announcing that it will be reclaimed.
 func (f *Fleet) Terminate(machine string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -19,8 +19,9 @@
 // set before use, and its counters may be read only while nothing uses it; its methods are
 // safe for concurrent use.
 type State struct {
-	// Requests counts the requests that reached the store; Writes counts the changes of its
-	// transactions, whatever their outcome.
+	// Requests counts the requests that reached the store, also those that it rejected; a watch
+	// counts again at each change that wakes it. Writes counts the changes of the transactions
+	// that no fault or rate limit rejected, whether or not they were applied.
 	Requests, Writes int
 	// RequestRate and WriteRate limit the requests and changes per second, with a burst of one
 	// second's worth; a RequestRate of 0 disables both limits. RateLimited counts the requests
--- a/internal/standin/state_faults.go
+++ b/internal/standin/state_faults.go
@@ -13,9 +13,9 @@
 	s.MaxValueBytes, s.MaxTxnOps, s.TooLarge = valueBytes, ops, 0
 }
 
-// SetOutage starts or ends an outage. During an outage, requests get status 503, watches stay
-// open without events, and no lease expires. At its end the full TTL of every lease starts
-// again.
+// SetOutage starts or ends an outage. During an outage, requests get status 503, open
+// watches stay open without events, and no lease expires. At its end the full TTL of every
+// lease starts again.
 func (s *State) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,8 +29,8 @@
 	}
 }
 
-// RejectNode starts or stops rejecting the requests of one node with status 503. Meanwhile the
-// node's watches stay open without events.
+// RejectNode starts or stops rejecting the requests of one node with status 503. Meanwhile
+// the node's open watches stay open without events.
 func (s *State) RejectNode(node string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -242,8 +242,8 @@
 }
 
 // applyReplyLocked renews the lease from the time at which the heartbeat was sent, and
-// executes the commands in the reply. It does nothing if the reply's fencing token is too low
-// or the heartbeat was sent by an earlier incarnation.
+// executes the commands in the reply. It ignores the reply if its fencing token is too low or
+// the heartbeat was sent by an earlier incarnation.
 func (w *Worker) applyReplyLocked(heartbeat *sentHeartbeat, reply *wire.HeartbeatReply) {
 	w.fleet.Checker.ObserveCommands(reply.Commands)
 	if reply.FencingToken < w.fencingToken || heartbeat.Incarnation != w.incarnation {
