--- a/internal/queue/order.go
+++ b/internal/queue/order.go
@@ -16,8 +16,8 @@
 // remaining work first would serve the largest jobs last. After half of this time,
 // a job with no task on a machine yet is served before all others of its priority,
 // the oldest first. After three quarters, jobs with less than half of their tasks
-// served come next: under a lasting overload they would otherwise never be served
-// in full.
+// served come next: under a lasting overload, half of their tasks would otherwise
+// never be served.
 const MaxStartDelay = 4 * time.Minute
 
 // urgency orders the jobs of one priority, the most urgent first. Late jobs come
